--- a/owner/admit.go
+++ b/owner/admit.go
@@ -12,37 +12,38 @@
 	"lovageslip/upstream"
 )
 
-// viewTimeout bounds the wait for a version that the entry has seen already.
+// viewTimeout bounds the wait for a view that the entry proxy already has.
 const viewTimeout = time.Second
 
-// refuseAfter is how long status queries must have failed before new work is
-// refused. One late answer of a busy server is no reason.
-const refuseAfter = 700 * time.Millisecond
+// refuseUnreachableAfter is how long status queries must have failed before
+// new work is refused. A single late answer of a busy server is not enough.
+const refuseUnreachableAfter = 700 * time.Millisecond
 
-// minConnWait lets work with hardly any wait left, but a slot, still dial.
+// minConnWait is the least time to wait for a connection, so that work that
+// got its slot at the end of its wait can still dial.
 const minConnWait = 100 * time.Millisecond
 
-func (s *stream) count(reason fault.Reason) {
+func (s *stream) countRefusal(reason fault.Reason) {
 	metrics.Refused(s.owner.metrics, s.open.Class, reason)
 }
 
-// admit checks everything that is known without the upstream. A batch of an
-// open transaction was admitted with its first batch.
+// admit makes the checks that need no query to the upstream. A batch of an
+// open transaction only needs a view, because the first batch was checked.
 func (j *job) admit(ctx context.Context) error {
 	s := j.stream
 	view, err := j.view(ctx)
 	if err != nil {
 		return err
 	}
-	c, known := view.Classes[s.open.Class]
-	if !known && !j.continuation {
+	c, registered := view.Classes[s.open.Class]
+	if !registered && !j.continuation {
 		return &fault.UnknownClass{Class: s.open.Class}
 	}
 	j.class = c
 	if j.continuation {
 		return nil
 	}
-	if err := s.allowed(); err != nil {
+	if err := s.checkNewWork(); err != nil {
 		return err
 	}
 	if j.batch.Mode == upstream.ModeWrite {
@@ -51,11 +52,12 @@
 	return nil
 }
 
-// view returns a view that is at least as new as the entry's.
+// view waits for a view whose ConfigVersion is at least the entry proxy's. A
+// batch of an open transaction takes any view.
 func (j *job) view(ctx context.Context) (*registry.View, error) {
 	s := j.stream
 	directory := s.owner.opts.Directory
-	ctx, cancel := context.WithTimeout(ctx, min(viewTimeout, max(j.remaining(), 0)))
+	ctx, cancel := context.WithTimeout(ctx, min(viewTimeout, max(j.waitRemaining(), 0)))
 	defer cancel()
 	for {
 		changed := directory.Changed()
@@ -71,16 +73,17 @@
 	}
 }
 
-// allowed reports whether new work may start on the upstream now. It is asked
-// again once a slot is free, because the queue may have taken long.
-func (s *stream) allowed() error {
+// checkNewWork returns an error unless new work may start on the upstream now.
+// It is called again once a slot was granted, because the lease, the owner or
+// the health of the upstream may have changed while the request queued.
+func (s *stream) checkNewWork() error {
 	o := s.owner
 	view := o.opts.Directory.View()
 	if view == nil {
 		return s.refuse(fault.ReasonLeaseLapsed, "no state has been received")
 	}
 	up := view.Upstreams[s.open.Upstream]
-	if up.Owner != o.opts.Host || !o.owns(s.unit) {
+	if up.Owner != o.opts.Host || !o.isCurrent(s.upstream) {
 		return s.refuse(fault.ReasonNotOwner, "this host no longer owns the upstream")
 	}
 	lease, inForce := o.opts.Leases.Lease(s.open.Upstream)
@@ -90,7 +93,7 @@
 	if s.open.ConfigVersion < view.ConfigVersion {
 		return s.refuse(fault.ReasonConfigBehind, "the entry holds an older version")
 	}
-	if s.unit.poller.unreachable() >= refuseAfter {
+	if s.upstream.poller.unreachable() >= refuseUnreachableAfter {
 		return s.refuse(fault.ReasonUpstreamUnavailable, "the upstream does not answer status queries")
 	}
 	if up.Leaving {
@@ -99,7 +102,7 @@
 	return nil
 }
 
-func (j *job) request() admission.Request {
+func (j *job) admissionRequest() admission.Request {
 	s := j.stream
 	return admission.Request{
 		Class:         s.open.Class,
@@ -107,22 +110,23 @@
 		Shape:         j.batch.Shape,
 		Bytes:         len(j.batch.Payload),
 		Waited:        j.batch.Waited + time.Since(j.arrived),
-		WaitRemaining: j.remaining(),
+		WaitRemaining: j.waitRemaining(),
 		Continuation:  j.continuation,
 		Long:          j.restarted,
 		Preemptible:   j.preemptible(),
 	}
 }
 
-// preemptible reports whether the work may be stopped and run again: only
-// reads outside of transactions have no effect when they are stopped.
+// preemptible reports whether the queue may stop the batch and run it again.
+// Only reads outside of transactions have no effect when they are stopped, and
+// a batch is stopped once at most.
 func (j *job) preemptible() bool {
 	return j.batch.Mode == upstream.ModeRead && !j.continuation && !j.restarted
 }
 
-// acquire gets a slot and a connection.
+// acquire gets a slot, and a connection unless the transaction has one.
 func (j *job) acquire(ctx context.Context) error {
-	if err := j.acquireSlot(ctx, j.request()); err != nil {
+	if err := j.acquireSlot(ctx, j.admissionRequest()); err != nil {
 		return err
 	}
 	if j.conn != nil {
@@ -132,7 +136,7 @@
 }
 
 func (j *job) acquireSlot(ctx context.Context, req admission.Request) error {
-	slot, err := j.stream.unit.queue.Acquire(ctx, req)
+	slot, err := j.stream.upstream.queue.Acquire(ctx, req)
 	if err != nil {
 		return err
 	}
@@ -141,10 +145,11 @@
 }
 
 // acquireConn gets a connection for a job that holds a slot. While the
-// upstream's connections are all in use, the slot is given back: open
-// transactions hold the connections and need the slots to finish.
+// upstream's connections are all in use, the slot is released: the open
+// transactions that hold the connections need slots to finish, so that waiting
+// with a slot could deadlock.
 func (j *job) acquireConn(ctx context.Context) error {
-	u := j.stream.unit
+	u := j.stream.upstream
 	if conn, ok := u.pool.TryGet(); ok {
 		j.conn = conn
 		return nil
@@ -156,30 +161,31 @@
 	if err := j.getConn(ctx); err != nil {
 		return err
 	}
-	req := j.request()
+	req := j.admissionRequest()
 	req.Continuation = true
 	return j.acquireSlot(ctx, req)
 }
 
 func (j *job) getConn(ctx context.Context) error {
-	bounded, cancel := context.WithTimeout(ctx, max(j.remaining(), minConnWait))
+	boundedCtx, cancel := context.WithTimeout(ctx, max(j.waitRemaining(), minConnWait))
 	defer cancel()
-	conn, err := j.stream.unit.pool.Get(bounded)
-	if err != nil && bounded.Err() != nil && ctx.Err() == nil {
+	conn, err := j.stream.upstream.pool.Get(boundedCtx)
+	if err != nil && boundedCtx.Err() != nil && ctx.Err() == nil {
 		return j.stream.refuse(fault.ReasonUpstreamUnavailable, "no connection was free in time")
 	}
 	if err != nil {
-		return j.counted(err)
+		return j.countNotRun(err)
 	}
 	j.conn = conn
 	return nil
 }
 
-// counted counts a refusal that another part decided on.
-func (j *job) counted(err error) error {
+// countNotRun counts a refusal that came from the pool or the upstream, and
+// returns err.
+func (j *job) countNotRun(err error) error {
 	var notRun *fault.NotRun
 	if errors.As(err, &notRun) {
-		j.stream.count(notRun.Reason)
+		j.stream.countRefusal(notRun.Reason)
 	}
 	return err
 }
--- a/owner/confirm.go
+++ b/owner/confirm.go
@@ -12,10 +12,10 @@
 	"lovageslip/upstream"
 )
 
-// confirmer learns from the other members of a group whether a majority
-// follows this upstream in the group's current term, and up to which position.
-// It keeps one watcher for each other member while the group names this
-// upstream as primary.
+// confirmer finds out whether a majority of the group follows this upstream in
+// the group's current term, and up to which log position. Reads and writes on a
+// primary and acknowledgements of commits depend on it. It runs one watcher for
+// each other member while this upstream is the group's primary.
 type confirmer struct {
 	dialer   upstream.Dialer
 	log      *slog.Logger
@@ -30,23 +30,25 @@
 	closed   bool
 }
 
-// report is what one member said.
-type report struct {
+// statusReport is one member's answer to a query.
+type statusReport struct {
 	status upstream.Status
-	// began is when the query was sent; what it says held at some moment
+	// sentAt is when the query was sent. The status was true at some moment
 	// after that.
-	began time.Time
+	sentAt time.Time
 }
 
-// confirmation is a caller that waits for a majority.
+// confirmation is one caller's request for proof that a majority follows this
+// upstream.
 type confirmation struct {
 	term upstream.Term
-	// position that a majority must include; zero for none.
+	// position is what the logs of a majority must include; zero for none.
 	position upstream.Position
-	// since is the time that the reports must have begun at or after.
-	since time.Time
-	done  chan struct{} // closed once err is final
-	err   error
+	// notBefore is the earliest time at which the queries behind the counted
+	// reports may have been sent.
+	notBefore time.Time
+	done      chan struct{} // closed once err is final
+	err       error
 }
 
 func newConfirmer(dialer upstream.Dialer, log *slog.Logger, up registry.Upstream) *confirmer {
@@ -60,8 +62,8 @@
 	}
 }
 
-// update follows a change of the group. Confirmations of another term fail at
-// once, because no majority will follow that term again.
+// update applies a change of the registry's view. Confirmations of a replaced
+// term fail at once, because no majority will follow that term again.
 func (c *confirmer) update(view *registry.View) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +73,7 @@
 	c.group = view.Groups[c.database]
 	c.updateWatchers(view)
 	for p := range c.pending {
-		c.settle(p)
+		c.completeIfDecided(p)
 	}
 }
 
@@ -92,14 +94,14 @@
 	}
 	for name, address := range wanted {
 		if c.watchers[name] == nil {
-			c.watchers[name] = c.watch(name, address)
+			c.watchers[name] = c.startWatcher(name, address)
 		}
 	}
 }
 
-func (c *confirmer) watch(name, address string) *watcher {
+func (c *confirmer) startWatcher(name, address string) *watcher {
 	ctx, stop := context.WithCancel(context.Background())
-	w := &watcher{confirmer: c, name: name, address: address, stop: stop, kick: make(chan struct{}, 1)}
+	w := &watcher{confirmer: c, name: name, address: address, stop: stop, wakeup: make(chan struct{}, 1)}
 	go w.run(ctx)
 	return w
 }
@@ -114,11 +116,11 @@
 	}
 	c.watchers = map[string]*watcher{}
 	for p := range c.pending {
-		c.settle(p)
+		c.completeIfDecided(p)
 	}
 }
 
-// currentGroup returns the group as last seen.
+// currentGroup returns the group as of the last update.
 func (c *confirmer) currentGroup() registry.Group {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,13 +128,13 @@
 }
 
 // start registers a confirmation and wakes the watchers. The caller must call
-// finish.
+// wait or finish, which remove it.
 func (c *confirmer) start(p *confirmation) *confirmation {
 	p.done = make(chan struct{})
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pending[p] = struct{}{}
-	c.settle(p)
+	c.completeIfDecided(p)
 	if _, waits := c.pending[p]; waits {
 		for _, w := range c.watchers {
 			w.wake()
@@ -149,7 +151,7 @@
 
 // wait returns nil once a majority has confirmed p.
 // Errors: *fault.NotRun with ReasonNotPrimary if the term has been replaced,
-// *Unconfirmed if the time ran out.
+// *Unconfirmed if the timeout passed or ctx ended first.
 func (c *confirmer) wait(ctx context.Context, p *confirmation, timeout time.Duration) error {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -164,15 +166,17 @@
 	}
 }
 
-// Unconfirmed reports that no majority of the group could be heard in time.
+// Unconfirmed reports that no majority of the group was proven in time to
+// follow the primary of Term.
 type Unconfirmed struct {
 	Term upstream.Term
 }
 
 func (e *Unconfirmed) Error() string { return "no majority of the group confirmed the term in time" }
 
-// observe takes a member's report and settles what it decides.
-func (c *confirmer) observe(w *watcher, r report) {
+// observe stores a member's report and completes the confirmations that it
+// decides. Reports of watchers that have been replaced are ignored.
+func (c *confirmer) observe(w *watcher, r statusReport) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.watchers[w.name] != w {
@@ -180,16 +184,18 @@
 	}
 	w.latest = r
 	for p := range c.pending {
-		c.settle(p)
+		c.completeIfDecided(p)
 	}
 }
 
-// settle completes p if its outcome is known.
-func (c *confirmer) settle(p *confirmation) {
+// completeIfDecided completes p with an error if its term has been replaced,
+// and with success if a majority, which includes this upstream, confirms it.
+// The caller holds mu.
+func (c *confirmer) completeIfDecided(p *confirmation) {
 	switch {
 	case c.closed || c.replaced(p.term):
 		p.err = &fault.NotRun{Reason: fault.ReasonNotPrimary, Detail: "the primary has been replaced"}
-	case c.leads(p.term) && c.supporters(p)+1 >= c.group.Majority():
+	case c.leads(p.term) && c.countConfirming(p)+1 >= c.group.Majority():
 	default:
 		return
 	}
@@ -201,8 +207,9 @@
 	return c.group.Term == term && c.group.Primary == c.self
 }
 
-// replaced reports whether the group has gone past this upstream's term. A
-// group that is behind term is not: its change of primary is still arriving.
+// replaced reports whether the group has a higher term, or another primary in
+// this term. A group with a lower term has not replaced it: the view that
+// names this upstream as primary has yet to arrive.
 func (c *confirmer) replaced(term upstream.Term) bool {
 	if c.group.Term != term {
 		return c.group.Term > term
@@ -210,26 +217,26 @@
 	return c.group.Primary != "" && c.group.Primary != c.self
 }
 
-// supporters counts the other members that confirm p.
-func (c *confirmer) supporters(p *confirmation) int {
+// countConfirming returns how many other members confirm p.
+func (c *confirmer) countConfirming(p *confirmation) int {
 	n := 0
 	for _, w := range c.watchers {
-		if w.latest.follows(p.term) && !w.latest.began.Before(p.since) && w.latest.status.Includes(p.position) {
+		if w.latest.follows(p.term) && !w.latest.sentAt.Before(p.notBefore) && w.latest.status.Includes(p.position) {
 			n++
 		}
 	}
 	return n
 }
 
-// follows reports whether the member was a replica in term and had promised
-// nothing to a higher one.
-func (r report) follows(term upstream.Term) bool {
+// follows reports whether the member was a replica in term and had made no
+// promise to a higher term.
+func (r statusReport) follows(term upstream.Term) bool {
 	s := r.status
-	return !r.began.IsZero() && s.Role == upstream.RoleReplica && s.Term == term && s.Fenced <= term
+	return !r.sentAt.IsZero() && s.Role == upstream.RoleReplica && s.Term == term && s.Fenced <= term
 }
 
-// confirmedAt is the latest time at which a majority is known to have
-// followed this upstream in the group's term; zero if never.
+// confirmedAt returns the latest time at which a majority is known to have
+// followed this upstream in the group's term; zero if there is none.
 func (c *confirmer) confirmedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -240,33 +247,34 @@
 	if needed == 0 {
 		return time.Now()
 	}
-	var began []time.Time
+	var sentTimes []time.Time
 	for _, w := range c.watchers {
 		if w.latest.follows(c.group.Term) {
-			began = append(began, w.latest.began)
+			sentTimes = append(sentTimes, w.latest.sentAt)
 		}
 	}
-	if len(began) < needed {
+	if len(sentTimes) < needed {
 		return time.Time{}
 	}
-	slices.SortFunc(began, func(a, b time.Time) int { return b.Compare(a) })
-	return began[needed-1]
+	slices.SortFunc(sentTimes, func(a, b time.Time) int { return b.Compare(a) })
+	return sentTimes[needed-1]
 }
 
-// demand is what a watcher should ask next: a status if a confirmation needs
-// a newer report, or else the lowest pending position that the member has not
-// reported yet.
-func (c *confirmer) demand(w *watcher) (status bool, position upstream.Position) {
+// nextQuery returns what a watcher should query next: a status if a
+// confirmation needs a newer report, otherwise a wait for the lowest pending
+// position that the member has not reported yet. Both results are zero if no
+// confirmation needs a query.
+func (c *confirmer) nextQuery(w *watcher) (needStatus bool, position upstream.Position) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for p := range c.pending {
-		if p.since.After(w.latest.began) {
-			status = true
+		if p.notBefore.After(w.latest.sentAt) {
+			needStatus = true
 		}
 		unseen := !w.latest.status.Includes(p.position)
 		if unseen && (position == upstream.Position{} || p.position.Before(position)) {
 			position = p.position
 		}
 	}
-	return status, position
+	return needStatus, position
 }
--- a/owner/execute.go
+++ b/owner/execute.go
@@ -11,59 +11,60 @@
 )
 
 // execute runs the batch with a slot and a connection. Afterwards the slot is
-// free, and the connection is kept only if a transaction is open on it. Work
-// that the queue stopped runs again as long work.
+// released, and the connection is kept only if a transaction is open on it. A
+// batch that the queue preempted runs again as long work.
 func (j *job) execute(ctx context.Context) (upstream.Result, error) {
 	defer j.releaseSlot(admission.NotMeasured)
 	for {
-		result, stopped, err := j.attempt(ctx)
-		if !stopped {
+		result, preempted, err := j.attempt(ctx)
+		if !preempted {
 			return result, err
 		}
 		j.restarted = true
 	}
 }
 
-func (j *job) attempt(ctx context.Context) (r upstream.Result, stopped bool, err error) {
+func (j *job) attempt(ctx context.Context) (r upstream.Result, preempted bool, err error) {
 	if err := j.prepare(ctx); err != nil {
-		j.giveBack()
+		j.returnUnusedConn()
 		return r, false, err
 	}
 	x := &execution{job: j, conn: j.conn, started: time.Now()}
 	r, err = x.run(ctx)
 	if err != nil {
 		j.releaseSlot(admission.NotMeasured)
-		return r, false, j.confirmEarlier(ctx, r, j.fail(x, err))
+		return r, false, j.confirmEarlierCommit(ctx, r, j.handleRunError(x, err))
 	}
-	if ctx.Err() == nil && x.wasStopped(r) {
+	if ctx.Err() == nil && x.wasPreempted(r) {
 		j.releaseSlot(admission.NotMeasured)
-		j.dropConn()
+		j.discardConn()
 		return r, true, nil
 	}
 	j.releaseSlot(time.Since(x.started))
 	if err := x.flush(); err != nil {
-		j.dropConn()
-		return r, false, j.unknown(err)
+		j.discardConn()
+		return r, false, j.outcomeUnknown(err)
 	}
-	j.keepOrPut(x, r)
+	j.returnIdleConn(x, r)
 	return r, false, nil
 }
 
-// confirmEarlier holds the news that a resent transaction has committed back
-// until a majority has that commit: the first try may have ended unconfirmed.
-func (j *job) confirmEarlier(ctx context.Context, r upstream.Result, err error) error {
+// confirmEarlierCommit delays the error AlreadyCommitted of a resent
+// transaction until a majority holds the commit, because the first attempt may
+// have ended before that. It returns other errors unchanged.
+func (j *job) confirmEarlierCommit(ctx context.Context, r upstream.Result, err error) error {
 	var committed *fault.AlreadyCommitted
 	if !errors.As(err, &committed) {
 		return err
 	}
-	if unconfirmed := j.confirm(ctx, r.After); unconfirmed != nil {
+	if unconfirmed := j.confirmCommit(ctx, r.After); unconfirmed != nil {
 		return unconfirmed
 	}
 	return err
 }
 
-// asked reports whether the queue has asked for the slot.
-func (j *job) asked() bool {
+// preemptionRequested reports whether the queue has asked for the slot back.
+func (j *job) preemptionRequested() bool {
 	select {
 	case <-j.slot.Yield():
 		return true
@@ -72,108 +73,113 @@
 	}
 }
 
-// prepare gets the slot and the connection and repeats the checks that may
-// have changed while the job queued.
+// prepare gets the slot and the connection, and repeats the checks whose
+// result may have changed while the job queued.
 func (j *job) prepare(ctx context.Context) error {
 	s := j.stream
-	queueing, leave := context.WithCancel(ctx)
-	defer leave()
-	s.onCancel(func(context.Context) error { leave(); return nil })
-	if err := j.awaitUnhealthy(queueing); err != nil {
+	queueCtx, leaveQueue := context.WithCancel(ctx)
+	defer leaveQueue()
+	s.setCancel(func(context.Context) error { leaveQueue(); return nil })
+	if err := j.awaitPrimaryBeforeQueue(queueCtx); err != nil {
 		return err
 	}
-	if err := j.acquire(queueing); err != nil {
+	if err := j.acquire(queueCtx); err != nil {
 		return err
 	}
-	// What has run once is in flight, even if it was stopped to run again.
+	// A batch that was preempted counts as in flight, so it is not checked again.
 	if j.continuation || j.restarted {
 		return nil
 	}
-	if err := s.allowed(); err != nil {
+	if err := s.checkNewWork(); err != nil {
 		return err
 	}
-	return j.awaitFresh(queueing)
+	return j.awaitPrimaryBeforeWrite(queueCtx)
 }
 
-// awaitUnhealthy waits for the confirmation of a primary before the queue if
-// it is not expected at once, so that no slot is held meanwhile.
-func (j *job) awaitUnhealthy(ctx context.Context) error {
-	if j.continuation || j.restarted || j.fresh.healthy() {
+// awaitPrimaryBeforeQueue waits for the confirmation of a primary before the
+// job queues, unless it is expected at once. No slot is held during the wait.
+func (j *job) awaitPrimaryBeforeQueue(ctx context.Context) error {
+	if j.continuation || j.restarted || j.freshness.expectsNoWait() {
 		return nil
 	}
-	return j.notConfirmed(j.fresh.wait(ctx, j.remaining()))
+	return j.refuseUnconfirmed(j.freshness.wait(ctx, j.waitRemaining()))
 }
 
-// awaitFresh holds a write back until the primary is confirmed. A read is
-// checked with the status that precedes its answer.
-func (j *job) awaitFresh(ctx context.Context) error {
+// awaitPrimaryBeforeWrite delays a write until the primary is confirmed. A read
+// needs no wait here: checkRead judges it by the status that precedes its
+// answer.
+func (j *job) awaitPrimaryBeforeWrite(ctx context.Context) error {
 	if j.batch.Mode != upstream.ModeWrite {
 		return nil
 	}
-	return j.notConfirmed(j.fresh.wait(ctx, j.remaining()))
+	return j.refuseUnconfirmed(j.freshness.wait(ctx, j.waitRemaining()))
 }
 
-func (j *job) notConfirmed(err error) error {
+func (j *job) refuseUnconfirmed(err error) error {
 	if err == nil {
 		return nil
 	}
 	return j.stream.refuse(fault.ReasonNotPrimary, "no majority confirms the primary: "+err.Error())
 }
 
-// giveBack returns a connection on which nothing was run. A transaction ends
-// with its exchange.
-func (j *job) giveBack() {
+// returnUnusedConn returns the connection to the pool if this job got it but
+// ran nothing on it. The connection of an open transaction is closed, because
+// the transaction ends with its exchange.
+func (j *job) returnUnusedConn() {
 	if j.continuation {
-		j.dropConn()
+		j.discardConn()
 		return
 	}
 	if j.conn != nil {
-		j.stream.unit.pool.Put(j.conn, false)
+		j.stream.upstream.pool.Put(j.conn, false)
 		j.conn = nil
 	}
 }
 
-// keepOrPut returns the connection unless a transaction is open on it. A batch
-// in write mode may have left session state.
-func (j *job) keepOrPut(x *execution, r upstream.Result) {
+// returnIdleConn returns the connection to the pool unless a transaction is
+// open on it. A batch in write mode may have left session state, so that the
+// connection needs a reset.
+func (j *job) returnIdleConn(x *execution, r upstream.Result) {
 	if r.State != upstream.StateIdle {
 		return
 	}
-	if x.tainted() {
-		j.dropConn()
+	if x.connUnusable() {
+		j.discardConn()
 		return
 	}
-	j.stream.unit.pool.Put(j.conn, j.batch.Mode == upstream.ModeWrite)
+	j.stream.upstream.pool.Put(j.conn, j.batch.Mode == upstream.ModeWrite)
 	j.conn = nil
 }
 
-// fail maps an error of the connection and settles what becomes of it.
-func (j *job) fail(x *execution, err error) error {
+// handleRunError maps an error of Conn.Run to the error for the caller, and
+// returns the connection to the pool or closes it.
+func (j *job) handleRunError(x *execution, err error) error {
 	var notRun *fault.NotRun
-	if errors.As(err, &notRun) && !j.continuation && !x.tainted() {
-		// The refused batch may have begun a transaction; a reset fails then
-		// and the pool closes the connection.
-		j.stream.unit.pool.Put(j.conn, true)
+	if errors.As(err, &notRun) && !j.continuation && !x.connUnusable() {
+		// The refused batch may have begun a transaction. The reset fails in
+		// that case, and the pool closes the connection.
+		j.stream.upstream.pool.Put(j.conn, true)
 		j.conn = nil
-		if err == x.refused {
+		if err == x.checkErr {
 			return err
 		}
-		return j.counted(err)
+		return j.countNotRun(err)
 	}
-	j.dropConn()
+	j.discardConn()
 	if x.silent.Load() {
-		return j.unknownFor(fault.ReasonSilentConnection, err)
+		return j.outcomeUnknownFor(fault.ReasonSilentConnection, err)
 	}
-	return j.typed(err)
+	return j.ensureOutcome(err)
 }
 
-// typed makes sure that every error says whether the batch ran.
-func (j *job) typed(err error) error {
+// ensureOutcome returns an error that says whether the batch ran. Errors that
+// don't say so are reported as an unknown outcome.
+func (j *job) ensureOutcome(err error) error {
 	var notRun *fault.NotRun
 	var unknown *fault.OutcomeUnknown
 	var committed *fault.AlreadyCommitted
 	if errors.As(err, &notRun) || errors.As(err, &unknown) || errors.As(err, &committed) {
 		return err
 	}
-	return j.unknown(err)
+	return j.outcomeUnknown(err)
 }
--- a/owner/fake_test.go
+++ b/owner/fake_test.go
@@ -17,19 +17,19 @@
 	"lovageslip/upstream"
 )
 
-// server is an upstream in memory.
+// server is a database server in memory. It counts connections and batches.
 type server struct {
-	mu      sync.Mutex // guards all fields
-	status  upstream.Status
-	down    bool
-	ran     []string // payloads of batches that ran
-	opened  int
-	closed  int
-	resets  int
-	running int
-	peak    int
-	// behave is called for each batch instead of answering at once.
-	behave func(c *conn, b upstream.Batch) (upstream.Result, error)
+	mu         sync.Mutex // guards all fields
+	status     upstream.Status
+	down       bool
+	ran        []string // payloads of batches that ran
+	opened     int
+	closed     int
+	resets     int
+	running    int
+	maxRunning int
+	// onBatch is called for each batch instead of answering at once.
+	onBatch func(c *conn, b upstream.Batch) (upstream.Result, error)
 }
 
 func (s *server) set(f func(*server)) {
@@ -44,17 +44,17 @@
 	return append([]string(nil), s.ran...)
 }
 
-// conn is a connection to a server in memory.
+// conn is a connection to a server. It implements upstream.Conn.
 type conn struct {
 	server *server
-	world  *world
+	group  *fakeGroup
 	// ended is closed by Close, cancelled by Cancel.
-	ended, cancelled chan struct{}
-	once, cancelOnce sync.Once
-	broken           bool
+	ended, cancelled      chan struct{}
+	closeOnce, cancelOnce sync.Once
+	broken                bool
 }
 
-func (c *conn) check() (upstream.Status, error) {
+func (c *conn) readStatus() (upstream.Status, error) {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	select {
@@ -69,7 +69,7 @@
 }
 
 func (c *conn) Run(_ context.Context, b upstream.Batch, check upstream.Check, sink upstream.Sink) (upstream.Result, error) {
-	status, err := c.check()
+	status, err := c.readStatus()
 	if err != nil {
 		return upstream.Result{}, &fault.OutcomeUnknown{Reason: fault.ReasonOutcomeUnknown, Err: err}
 	}
@@ -81,10 +81,10 @@
 		}
 	}
 	c.server.mu.Lock()
-	behave := c.server.behave
+	onBatch := c.server.onBatch
 	c.server.mu.Unlock()
-	if behave != nil {
-		return behave(c, b)
+	if onBatch != nil {
+		return onBatch(c, b)
 	}
 	if err := sink([]byte("rows ")); err != nil {
 		return upstream.Result{}, err
@@ -97,7 +97,7 @@
 	defer s.mu.Unlock()
 	s.ran = append(s.ran, string(b.Payload))
 	s.running++
-	s.peak = max(s.peak, s.running)
+	s.maxRunning = max(s.maxRunning, s.running)
 }
 
 func (s *server) end() {
@@ -106,7 +106,8 @@
 	s.running--
 }
 
-// answer commits writes; a payload of "begin" opens a transaction.
+// answer commits writes. The payloads "begin" and "more" leave a transaction
+// open.
 func (s *server) answer(b upstream.Batch) upstream.Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,12 +124,12 @@
 	return r
 }
 
-func (c *conn) Status(context.Context) (upstream.Status, error) { return c.check() }
+func (c *conn) Status(context.Context) (upstream.Status, error) { return c.readStatus() }
 
 func (c *conn) Wait(ctx context.Context, p upstream.Position, timeout time.Duration) (upstream.Status, error) {
 	until := time.Now().Add(timeout)
 	for {
-		status, err := c.check()
+		status, err := c.readStatus()
 		if err != nil || status.Includes(p) || time.Now().After(until) {
 			return status, err
 		}
@@ -140,12 +141,14 @@
 	}
 }
 
-func (c *conn) Fence(context.Context, upstream.Term) (upstream.Status, error) { return c.check() }
+func (c *conn) Fence(context.Context, upstream.Term) (upstream.Status, error) { return c.readStatus() }
 
-func (c *conn) Promote(context.Context, upstream.Term) (upstream.Status, error) { return c.check() }
+func (c *conn) Promote(context.Context, upstream.Term) (upstream.Status, error) {
+	return c.readStatus()
+}
 
 func (c *conn) Follow(context.Context, upstream.Term, string) (upstream.Status, error) {
-	return c.check()
+	return c.readStatus()
 }
 
 func (c *conn) Cancel(context.Context) error {
@@ -155,7 +158,7 @@
 
 func (c *conn) Reset(context.Context) error {
 	c.server.set(func(s *server) { s.resets++ })
-	_, err := c.check()
+	_, err := c.readStatus()
 	return err
 }
 
@@ -166,47 +169,47 @@
 }
 
 func (c *conn) Close() error {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.ended)
 		c.server.set(func(s *server) { s.closed++ })
 	})
 	return nil
 }
 
-// world is a group of three servers, whose primary is "a", with one owner for
-// all of them. It is the dialer, the directory and the leases at once.
-type world struct {
+// fakeGroup is a group of three servers, whose primary is "a" and which one
+// host owns. It serves an Owner as its Dialer, Directory and Leases.
+type fakeGroup struct {
 	servers map[string]*server
 
-	mu      sync.Mutex // guards the fields below
-	view    *registry.View
-	changed chan struct{}
-	lapsed  bool
-	cutOff  bool // from the control hosts, for longer than a lease
-	// active answers what Activity asks: whether the server works, and
-	// whether it can tell.
-	active func() (working, known bool)
+	mu               sync.Mutex // guards the fields below
+	view             *registry.View
+	changed          chan struct{}
+	leaseExpired     bool
+	noControlContact bool // for longer than a lease
+	// activity answers calls of Active: whether the server is executing a batch,
+	// and whether it can tell.
+	activity func() (working, ok bool)
 
 	probed atomic.Int32
 }
 
-func (w *world) set(f func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (g *fakeGroup) set(f func()) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	f()
 }
 
-// Active lets a connection tell about another one; see pool.Activity.
+// Active implements pool.Activity.
 func (c *conn) Active(context.Context, upstream.Conn) (bool, error) {
-	c.world.mu.Lock()
-	active := c.world.active
-	c.world.mu.Unlock()
-	c.world.probed.Add(1)
-	if active == nil {
+	c.group.mu.Lock()
+	activity := c.group.activity
+	c.group.mu.Unlock()
+	c.group.probed.Add(1)
+	if activity == nil {
 		return false, &fault.Unsupported{Feature: "activity"}
 	}
-	working, known := active()
-	if !known {
+	working, ok := activity()
+	if !ok {
 		return false, &fault.Unsupported{Feature: "activity"}
 	}
 	return working, nil
@@ -214,9 +217,9 @@
 
 var members = []string{"a", "b", "c"}
 
-func newWorld(t *testing.T) (*world, *Owner) {
+func newFakeGroup(t *testing.T) (*fakeGroup, *Owner) {
 	t.Helper()
-	w := &world{servers: map[string]*server{}, changed: make(chan struct{})}
+	g := &fakeGroup{servers: map[string]*server{}, changed: make(chan struct{})}
 	view := &registry.View{
 		Version: 1, ConfigVersion: 1,
 		Classes: map[string]class.Class{
@@ -231,81 +234,81 @@
 		if name == "a" {
 			role = upstream.RolePrimary
 		}
-		w.servers[name] = &server{status: upstream.Status{Role: role, Term: 1, Fenced: 1, Offset: 10, History: upstream.History{{Term: 1}}}}
+		g.servers[name] = &server{status: upstream.Status{Role: role, Term: 1, Fenced: 1, Offset: 10, History: upstream.History{{Term: 1}}}}
 		view.Upstreams[name] = registry.Upstream{
 			Name: name, Database: "db", Address: name, Slots: 2, MaxConnections: 12, Owner: "host", OwnerEpoch: 1,
 		}
 	}
-	w.view = view
+	g.view = view
 	o := New(Options{
-		Host: "host", Directory: w, Leases: w, Dialer: w,
+		Host: "host", Directory: g, Leases: g, Dialer: g,
 		ConfirmTimeout: time.Minute, SilentAfter: 100 * time.Millisecond,
 	})
 	t.Cleanup(func() { _ = o.Close() })
-	return w, o
+	return g, o
 }
 
-func (w *world) Dial(_ context.Context, address, _ string) (upstream.Conn, error) {
-	s := w.servers[address]
+func (g *fakeGroup) Dial(_ context.Context, address, _ string) (upstream.Conn, error) {
+	s := g.servers[address]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
 		return nil, &fault.NotRun{Reason: fault.ReasonUpstreamUnavailable, Detail: "down"}
 	}
 	s.opened++
-	return &conn{server: s, world: w, ended: make(chan struct{}), cancelled: make(chan struct{})}, nil
+	return &conn{server: s, group: g, ended: make(chan struct{}), cancelled: make(chan struct{})}, nil
 }
 
-func (w *world) View() *registry.View {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.view
+func (g *fakeGroup) View() *registry.View {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.view
 }
 
-func (w *world) Changed() <-chan struct{} {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.changed
+func (g *fakeGroup) Changed() <-chan struct{} {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.changed
 }
 
-func (w *world) Lease(string) (registry.Lease, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return registry.Lease{Epoch: 1}, !w.lapsed
+func (g *fakeGroup) Lease(string) (registry.Lease, bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return registry.Lease{Epoch: 1}, !g.leaseExpired
 }
 
-func (w *world) ConfigVersion() uint64 { return 1 }
+func (g *fakeGroup) ConfigVersion() uint64 { return 1 }
 
-func (w *world) Current() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return !w.cutOff
+func (g *fakeGroup) Current() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return !g.noControlContact
 }
 
-func (w *world) lapse() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lapsed = true
+func (g *fakeGroup) expireLease() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.leaseExpired = true
 }
 
-// change publishes a changed copy of the view.
-func (w *world) change(f func(*registry.View)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	next := *w.view
+// updateView applies f to a copy of the view and publishes the copy.
+func (g *fakeGroup) updateView(f func(*registry.View)) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	next := *g.view
 	next.Version++
 	next.Upstreams = map[string]registry.Upstream{}
-	for k, v := range w.view.Upstreams {
+	for k, v := range g.view.Upstreams {
 		next.Upstreams[k] = v
 	}
-	next.Groups = map[string]registry.Group{"db": w.view.Groups["db"]}
+	next.Groups = map[string]registry.Group{"db": g.view.Groups["db"]}
 	f(&next)
-	w.view = &next
-	close(w.changed)
-	w.changed = make(chan struct{})
+	g.view = &next
+	close(g.changed)
+	g.changed = make(chan struct{})
 }
 
-// answer collects what a sink received.
+// answer collects the parts of an answer that its sink received.
 type answer struct {
 	mu    sync.Mutex
 	bytes []byte
@@ -328,17 +331,17 @@
 	return upstream.Batch{Mode: mode, Payload: []byte(text), WaitRemaining: 2 * time.Second}
 }
 
-func open(t *testing.T, o *Owner, name, class string) exchange.Stream {
+func openExchange(t *testing.T, o *Owner, name, class string) exchange.Stream {
 	t.Helper()
 	s, err := o.Open(context.Background(), exchange.Open{Upstream: name, Class: class, ConfigVersion: 1, Caller: "x"})
 	assert.NilError(t, err)
 	return s
 }
 
-// run runs one batch on a new exchange.
-func run(t *testing.T, o *Owner, name, class string, b upstream.Batch) (exchange.Done, string, error) {
+// runBatch runs one batch on a new exchange and returns the answer's text.
+func runBatch(t *testing.T, o *Owner, name, class string, b upstream.Batch) (exchange.Done, string, error) {
 	t.Helper()
-	s := open(t, o, name, class)
+	s := openExchange(t, o, name, class)
 	defer func() { _ = s.Close() }()
 	var a answer
 	done, err := s.Run(context.Background(), b, a.sink)
@@ -360,7 +363,7 @@
 	return ok
 }
 
-// eventually waits for a condition.
+// eventually waits until f reports true. what names the awaited condition.
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
--- a/owner/freshness.go
+++ b/owner/freshness.go
@@ -11,106 +11,111 @@
 )
 
 const (
-	// freshTimeout bounds the wait for a majority before a request runs.
-	freshTimeout = time.Second
-	// healthyAge is the age up to which the last confirmation suggests that
-	// the next one will come at once, so that it may be awaited with a slot
-	// in hand.
-	healthyAge = 500 * time.Millisecond
+	// preRunConfirmTimeout bounds the wait for a majority before a request runs.
+	preRunConfirmTimeout = time.Second
+	// promptConfirmationAge is the age up to which the last confirmation
+	// suggests that the next one will come at once. A job may then hold a
+	// slot while it waits for the next one.
+	promptConfirmationAge = 500 * time.Millisecond
 )
 
-// freshness is the proof that a primary had not been replaced, as recent as
-// one request needs it.
+// freshness obtains the proof for one request that the primary has not been
+// replaced. The class of the request says how old the proof may be.
 type freshness struct {
-	unit *unit
-	age  time.Duration
-	// pending is a confirmation begun after the request arrived; nil if the
-	// last one may be recent enough.
+	upstream *ownedUpstream
+	maxAge   time.Duration
+	// pending is a confirmation by reports from after the request's arrival;
+	// nil if the last one may be recent enough.
 	pending *confirmation
 }
 
-// freshness starts a confirmation if the last one is not recent enough. It
-// runs while the request queues. done must be called.
-func (u *unit) freshness(c class.Class, arrived time.Time) *freshness {
-	f := &freshness{unit: u, age: c.Age}
-	group := u.confirm.currentGroup()
+// freshness starts a confirmation if the last one is not recent enough, so
+// that it is obtained while the request queues. The caller must call done.
+func (u *ownedUpstream) freshness(c class.Class, arrived time.Time) *freshness {
+	f := &freshness{upstream: u, maxAge: c.Age}
+	group := u.confirmer.currentGroup()
 	if group.Primary != u.name {
 		return f
 	}
-	if c.Age > 0 && time.Since(u.confirm.confirmedAt()) < c.Age/2 {
+	if c.Age > 0 && time.Since(u.confirmer.confirmedAt()) < c.Age/2 {
 		return f
 	}
-	f.pending = u.confirm.start(&confirmation{term: group.Term, since: arrived})
+	f.pending = u.confirmer.start(&confirmation{term: group.Term, notBefore: arrived})
 	return f
 }
 
 func (f *freshness) done() {
 	if f.pending != nil {
-		f.unit.confirm.finish(f.pending)
+		f.upstream.confirmer.finish(f.pending)
 	}
 }
 
-// healthy reports whether wait is expected to return at once.
-func (f *freshness) healthy() bool {
-	return f.pending == nil || time.Since(f.unit.confirm.confirmedAt()) < healthyAge
+// expectsNoWait reports whether wait is expected to return at once.
+func (f *freshness) expectsNoWait() bool {
+	return f.pending == nil || time.Since(f.upstream.confirmer.confirmedAt()) < promptConfirmationAge
 }
 
-// wait returns nil once the primary's data are known to be recent enough.
+// wait returns nil once the primary's confirmation is recent enough for the
+// request. Errors: as of confirmer.wait.
 func (f *freshness) wait(ctx context.Context, timeout time.Duration) error {
-	if f.age > 0 && time.Since(f.unit.confirm.confirmedAt()) <= f.age {
+	if f.maxAge > 0 && time.Since(f.upstream.confirmer.confirmedAt()) <= f.maxAge {
 		return nil
 	}
 	if f.pending == nil {
-		group := f.unit.confirm.currentGroup()
-		f.pending = f.unit.confirm.start(&confirmation{term: group.Term, since: time.Now()})
+		group := f.upstream.confirmer.currentGroup()
+		f.pending = f.upstream.confirmer.start(&confirmation{term: group.Term, notBefore: time.Now()})
 	}
-	return f.unit.confirm.wait(ctx, f.pending, min(timeout, freshTimeout))
+	return f.upstream.confirmer.wait(ctx, f.pending, min(timeout, preRunConfirmTimeout))
 }
 
-// minTerm is the lowest term whose servers may answer reads. While a group
-// has no primary, no write of the new term can have been acknowledged.
-func minTerm(g registry.Group) upstream.Term {
+// minReadTerm returns the lowest term whose servers may answer reads. While a
+// group has no primary, no write of the new term can have been acknowledged,
+// so that servers of the term before it may still answer.
+func minReadTerm(g registry.Group) upstream.Term {
 	if g.Primary == "" && g.Term > 0 {
 		return g.Term - 1
 	}
 	return g.Term
 }
 
-func (u *unit) isPrimary(s upstream.Status) bool {
-	group := u.confirm.currentGroup()
+func (u *ownedUpstream) isPrimary(s upstream.Status) bool {
+	group := u.confirmer.currentGroup()
 	return s.Role == upstream.RolePrimary && group.Primary == u.name && group.Term == s.Term
 }
 
-// unknownAge stands for the age of a primary that no majority has confirmed.
-const unknownAge = 24 * time.Hour
+// unconfirmedDataAge is reported as the age of the data of a primary that no
+// majority has confirmed.
+const unconfirmedDataAge = 24 * time.Hour
 
-// dataAge bounds how old the data are now, by a status asked for at a time.
-func (u *unit) dataAge(s upstream.Status, at time.Time) time.Duration {
+// dataAge returns an upper bound of the age of the data now, from a status
+// whose query was sent at sentAt.
+func (u *ownedUpstream) dataAge(s upstream.Status, sentAt time.Time) time.Duration {
 	if s.Role == upstream.RoleReplica {
-		return s.DataAge + time.Since(at)
+		return s.DataAge + time.Since(sentAt)
 	}
-	confirmed := u.confirm.confirmedAt()
+	confirmed := u.confirmer.confirmedAt()
 	if confirmed.IsZero() {
-		return unknownAge
+		return unconfirmedDataAge
 	}
 	return time.Since(confirmed)
 }
 
-// checkRead judges the status that preceded a read on the same connection.
+// checkRead refuses a read unless the status that the server sent before the
+// answer, on the same connection, shows data recent enough for the request.
 func (s *stream) checkRead(ctx context.Context, c class.Class, f *freshness, status upstream.Status) error {
 	if !status.Includes(s.open.MinPosition) {
 		return s.refuse(fault.ReasonStale, "the upstream is behind the session")
 	}
-	if status.Term < minTerm(s.unit.confirm.currentGroup()) {
+	if status.Term < minReadTerm(s.upstream.confirmer.currentGroup()) {
 		return s.refuse(fault.ReasonStale, "the upstream follows a replaced primary")
 	}
 	if status.Role == upstream.RoleReplica {
 		return s.checkReplica(c, status)
 	}
-	if !s.unit.isPrimary(status) {
+	if !s.upstream.isPrimary(status) {
 		return s.refuse(fault.ReasonStale, "the primary has been replaced")
 	}
-	if err := f.wait(ctx, freshTimeout); err != nil {
+	if err := f.wait(ctx, preRunConfirmTimeout); err != nil {
 		return s.refuse(fault.ReasonStale, "no majority confirms the primary: "+err.Error())
 	}
 	return nil
@@ -126,11 +131,12 @@
 	return nil
 }
 
-// checkWrite refuses a write before it runs unless this upstream is known to
-// lead its group. The commit is confirmed again after it ran.
+// checkWrite refuses a write before it runs unless this upstream is the primary
+// in the registry's view. confirmCommit confirms the primary again after the
+// commit.
 func (s *stream) checkWrite() error {
-	group := s.unit.confirm.currentGroup()
-	if group.Primary != s.unit.name {
+	group := s.upstream.confirmer.currentGroup()
+	if group.Primary != s.upstream.name {
 		return s.refuse(fault.ReasonNotPrimary, "the upstream is not the primary")
 	}
 	if s.open.MinPosition.Term > group.Term {
--- a/owner/health.go
+++ b/owner/health.go
@@ -6,7 +6,8 @@
 	"lovageslip/upstream"
 )
 
-// Health is a report on one owned upstream, for the heartbeat of this host.
+// Health is the state of one owned upstream, which this host reports in its
+// heartbeats.
 type Health struct {
 	Upstream  string
 	Reachable bool
@@ -31,38 +32,38 @@
 
 // Health reports on all owned upstreams, in no particular order.
 func (o *Owner) Health() []Health {
-	units := o.owned()
-	reports := make([]Health, 0, len(units))
-	for _, u := range units {
+	upstreams := o.ownedUpstreams()
+	reports := make([]Health, 0, len(upstreams))
+	for _, u := range upstreams {
 		reports = append(reports, u.health())
 	}
 	return reports
 }
 
-func (o *Owner) owned() []*unit {
+func (o *Owner) ownedUpstreams() []*ownedUpstream {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	units := make([]*unit, 0, len(o.units))
-	for _, u := range o.units {
-		units = append(units, u)
+	upstreams := make([]*ownedUpstream, 0, len(o.upstreams))
+	for _, u := range o.upstreams {
+		upstreams = append(upstreams, u)
 	}
-	return units
+	return upstreams
 }
 
-func (u *unit) health() Health {
-	status, at, known := u.poller.last()
+func (u *ownedUpstream) health() Health {
+	status, sentAt, hasStatus := u.poller.lastStatus()
 	unreachable := u.poller.unreachable()
-	h := Health{Upstream: u.name, Reachable: known && unreachable == 0, Unreachable: unreachable}
-	if !known {
+	h := Health{Upstream: u.name, Reachable: hasStatus && unreachable == 0, Unreachable: unreachable}
+	if !hasStatus {
 		return h
 	}
-	since := time.Since(at)
+	statusAge := time.Since(sentAt)
 	h.Primary = status.Role == upstream.RolePrimary
 	h.Term = status.Term
 	h.Offset = status.Offset
 	if !h.Primary {
-		h.DataAge = status.DataAge + since
-		h.PrimaryContactAge = status.PrimaryContactAge + since
+		h.DataAge = status.DataAge + statusAge
+		h.PrimaryContactAge = status.PrimaryContactAge + statusAge
 	}
 	return h
 }
--- a/owner/monitor.go
+++ b/owner/monitor.go
@@ -9,23 +9,23 @@
 
 const (
 	probeTimeout = time.Second
-	// lostAfterIdle is how many probes in a row must find that the server
-	// executes nothing for a connection. One may have met an answer on its
-	// way.
-	lostAfterIdle = 2
-	// unreachableAfter is how long all status queries must have failed
-	// before batches on the upstream are given up.
-	unreachableAfter = time.Second
+	// idleProbesUntilLost is how many probes in a row must find that the
+	// server executes nothing for a connection. At a single probe, the answer
+	// may just be on its way.
+	idleProbesUntilLost = 2
+	// abandonUnreachableAfter is how long all status queries must have failed
+	// before silent connections to the upstream are taken for lost.
+	abandonUnreachableAfter = time.Second
 )
 
-// monitor stops a batch whose caller has gone, whose slot the queue wants back
-// or whose connection is silent.
+// monitor watches one running batch. It stops the batch if the caller's context
+// ends, if the queue asks for the slot back or if the connection is lost.
 func (x *execution) monitor(ctx context.Context, finished <-chan struct{}) {
 	interval := x.job.stream.owner.opts.SilentAfter
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	yield := x.job.slot.Yield()
-	idle := 0
+	idleProbes := 0
 	for {
 		select {
 		case <-finished:
@@ -37,17 +37,17 @@
 			yield = nil
 			_ = x.cancel(context.Background())
 		case <-timer.C:
-			if x.lost(ctx, &idle) {
-				x.giveUp()
+			if x.connLost(ctx, &idleProbes) {
+				x.abandonConn()
 				return
 			}
-			timer.Reset(max(interval-x.quiet(), interval/4))
+			timer.Reset(max(interval-x.silentFor(), interval/4))
 		}
 	}
 }
 
-// abort cancels the batch on the server and closes the connection if the
-// batch does not end soon.
+// abort cancels the batch on the server, and closes the connection if the
+// batch does not end within cancelGrace.
 func (x *execution) abort(finished <-chan struct{}) {
 	_ = x.cancel(context.Background())
 	timer := time.NewTimer(cancelGrace)
@@ -59,39 +59,40 @@
 	}
 }
 
-// lost reports whether the connection will not deliver anything any more. idle
-// counts the probes in a row that found the server idle.
-func (x *execution) lost(ctx context.Context, idle *int) bool {
+// connLost reports whether the connection is unlikely to deliver anything any
+// more. idleProbes counts the probes in a row that found the server idle.
+func (x *execution) connLost(ctx context.Context, idleProbes *int) bool {
 	j := x.job
-	if x.quiet() < j.stream.owner.opts.SilentAfter {
-		*idle = 0
+	if x.silentFor() < j.stream.owner.opts.SilentAfter {
+		*idleProbes = 0
 		return false
 	}
-	if j.stream.unit.poller.unreachable() >= unreachableAfter {
+	if j.stream.upstream.poller.unreachable() >= abandonUnreachableAfter {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	switch j.stream.unit.pool.Probe(ctx, x.conn) {
+	switch j.stream.upstream.pool.Probe(ctx, x.conn) {
 	case pool.Idle:
-		*idle++
-		return *idle >= lostAfterIdle
+		*idleProbes++
+		return *idleProbes >= idleProbesUntilLost
 	case pool.Unclear:
-		return x.quiet() >= j.stream.unit.queue.Patience(j.stream.open.Class, j.batch.Shape)
+		return x.silentFor() >= j.stream.upstream.queue.Patience(j.stream.open.Class, j.batch.Shape)
 	default:
-		*idle = 0
+		*idleProbes = 0
 		return false
 	}
 }
 
-// giveUp closes a silent connection. The server may still run the batch, so it
-// is asked to stop; a batch that was falsely taken for lost is then not left
-// running without a slot. The connection is closed first, so that no answer to
-// the cancel request is taken for the answer of the batch.
-func (x *execution) giveUp() {
+// abandonConn closes a silent connection and asks the server to stop the batch.
+// The connection may have been wrongly taken for lost, and a batch that the
+// server still runs must not go on without a slot. The connection is closed
+// first, so that the answer to the cancel request is not taken for the answer
+// of the batch.
+func (x *execution) abandonConn() {
 	x.silent.Store(true)
-	x.job.stream.unit.queue.Lost(x.quiet())
-	x.mayCancel()
+	x.job.stream.upstream.queue.Lost(x.silentFor())
+	x.markCancelled()
 	_ = x.conn.Close()
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -1,10 +1,13 @@
-// Package owner is the owner role of a proxy: it runs exchanges on the
-// upstreams whose lease this host holds, and confirms commits with the rest of
-// their groups.
+// Package owner implements the owner role of a proxy. An upstream is owned by
+// one host at a time, which holds a lease on it. Entry proxies send their
+// requests to the owner (see package exchange). The owner admits and queues
+// them, runs them on the upstream, and acknowledges a commit once a majority of
+// the upstream's group holds it. The daemon starts one Owner in each proxy.
 package owner
 
 import (
 	"context"
+	"fmt"
 	"log/slog"
 	"sync"
 	"time"
@@ -21,7 +24,7 @@
 	"lovageslip/upstream"
 )
 
-// Options configure an Owner.
+// Options configure an Owner, which serves the upstreams owned by one host.
 type Options struct {
 	Log     *slog.Logger
 	Metrics tally.Scope
@@ -37,13 +40,13 @@
 	// ConfirmTimeout bounds the wait for a majority after a commit; zero
 	// means the class's wait, at least minConfirmTimeout.
 	ConfirmTimeout time.Duration
-	// SilentAfter is how long a connection may deliver nothing before it is
-	// probed.
+	// SilentAfter is how long a connection may deliver nothing during a batch
+	// before it is probed; zero means defaultSilentAfter.
 	SilentAfter time.Duration
 }
 
 const (
-	// minConfirmTimeout leaves room for replicas that lag by some seconds.
+	// minConfirmTimeout allows for replicas that lag by some seconds.
 	minConfirmTimeout  = 5 * time.Second
 	defaultSilentAfter = time.Second
 )
@@ -58,47 +61,48 @@
 	tasks   conc.WaitGroup
 
 	// mu guards all fields below.
-	mu       sync.Mutex
-	units    map[string]*unit
-	draining bool
-	active   int
-	// quiet is closed and replaced when active falls to zero.
-	quiet chan struct{}
+	mu        sync.Mutex
+	upstreams map[string]*ownedUpstream
+	draining  bool
+	inFlight  int
+	// allFinished is closed and replaced when inFlight falls to zero.
+	allFinished chan struct{}
 }
 
 var _ exchange.Handler = (*Owner)(nil)
 
-// New returns an owner and starts to follow the directory.
-func New(o Options) *Owner {
-	if o.SilentAfter == 0 {
-		o.SilentAfter = defaultSilentAfter
-	}
-	if o.Policy == nil {
-		o.Policy = func() admission.Policy { return admission.NewShortest() }
-	}
-	w := &Owner{
-		opts:    o,
-		log:     logging.For(o.Log, "owner"),
-		metrics: metrics.OrNoop(o.Metrics),
-		units:   map[string]*unit{},
-		quiet:   make(chan struct{}),
-	}
-	w.ctx, w.stop = context.WithCancel(context.Background())
-	changed := o.Directory.Changed()
-	w.reconcile()
-	w.tasks.Go(func() { w.follow(changed) })
-	return w
+// New returns an owner that follows the directory's views until it is closed.
+func New(options Options) *Owner {
+	if options.SilentAfter == 0 {
+		options.SilentAfter = defaultSilentAfter
+	}
+	if options.Policy == nil {
+		options.Policy = func() admission.Policy { return admission.NewShortest() }
+	}
+	o := &Owner{
+		opts:        options,
+		log:         logging.For(options.Log, "owner"),
+		metrics:     metrics.OrNoop(options.Metrics),
+		upstreams:   map[string]*ownedUpstream{},
+		allFinished: make(chan struct{}),
+	}
+	o.ctx, o.stop = context.WithCancel(context.Background())
+	changed := options.Directory.Changed()
+	o.reconcile()
+	o.tasks.Go(func() { o.followDirectory(changed) })
+	return o
 }
 
-// follow starts and stops units as ownership changes.
-func (o *Owner) follow(changed <-chan struct{}) {
+// followDirectory starts and stops the use of upstreams as ownership changes.
+func (o *Owner) followDirectory(changed <-chan struct{}) {
 	for {
 		select {
 		case <-o.ctx.Done():
 			return
 		case <-changed:
 		}
-		// Taken before the view is read, so that no change is missed.
+		// The channel is fetched before the view is read, so that no change is
+		// missed.
 		changed = o.opts.Directory.Changed()
 		o.reconcile()
 	}
@@ -114,27 +118,27 @@
 	if o.ctx.Err() != nil {
 		return
 	}
-	for name, u := range o.units {
-		up, known := view.Upstreams[name]
-		if !known || up.Owner != o.opts.Host || up.Address != u.address || up.Database != u.database {
-			delete(o.units, name)
-			o.log.Info("upstream given up", "upstream", name)
+	for name, u := range o.upstreams {
+		up, registered := view.Upstreams[name]
+		if !registered || up.Owner != o.opts.Host || up.Address != u.address || up.Database != u.database {
+			delete(o.upstreams, name)
+			o.log.Info("released an upstream whose owner or registration changed", "upstream", name)
 			go u.retire()
 		}
 	}
 	for name, up := range view.Upstreams {
 		if up.Owner == o.opts.Host {
-			o.own(name, up, view)
+			o.startOrUpdate(name, up, view)
 		}
 	}
 }
 
-func (o *Owner) own(name string, up registry.Upstream, view *registry.View) {
-	u := o.units[name]
+func (o *Owner) startOrUpdate(name string, up registry.Upstream, view *registry.View) {
+	u := o.upstreams[name]
 	if u == nil {
-		u = newUnit(o, up)
-		o.units[name] = u
-		o.log.Info("upstream taken over", "upstream", name, "address", up.Address)
+		u = newOwnedUpstream(o, up)
+		o.upstreams[name] = u
+		o.log.Info("took ownership of an upstream", "upstream", name, "address", up.Address)
 	}
 	u.update(up, view)
 }
@@ -143,7 +147,7 @@
 // Errors: *fault.NotRun.
 func (o *Owner) Open(_ context.Context, open exchange.Open) (exchange.Stream, error) {
 	o.mu.Lock()
-	u := o.units[open.Upstream]
+	u := o.upstreams[open.Upstream]
 	draining := o.draining
 	o.mu.Unlock()
 	if draining {
@@ -155,12 +159,12 @@
 	return newStream(o, u, open), nil
 }
 
-// owns reports whether u still stands for its upstream. It does not after a
-// change of owner or of address.
-func (o *Owner) owns(u *unit) bool {
+// isCurrent reports whether u still serves its upstream. It does not after a
+// change of the upstream's owner, address or database.
+func (o *Owner) isCurrent(u *ownedUpstream) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.units[u.name] == u
+	return o.upstreams[u.name] == u
 }
 
 func (o *Owner) refuse(class string, reason fault.Reason, detail string) *fault.NotRun {
@@ -168,43 +172,44 @@
 	return &fault.NotRun{Reason: reason, Detail: detail}
 }
 
-// begin counts an exchange as in flight. It reports false if new work is no
-// longer taken.
-func (o *Owner) begin() bool {
+// beginExchange counts an exchange as in flight. It reports false if the owner
+// is draining and takes no new work.
+func (o *Owner) beginExchange() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.draining {
 		return false
 	}
-	o.active++
+	o.inFlight++
 	return true
 }
 
-func (o *Owner) end() {
+func (o *Owner) endExchange() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.active--
-	if o.active == 0 {
-		close(o.quiet)
-		o.quiet = make(chan struct{})
+	o.inFlight--
+	if o.inFlight == 0 {
+		close(o.allFinished)
+		o.allFinished = make(chan struct{})
 	}
 }
 
 // Drain refuses new exchanges and waits until those in flight have finished.
+// Errors: *DrainTimeout if ctx ends first.
 func (o *Owner) Drain(ctx context.Context) error {
 	o.mu.Lock()
 	o.draining = true
-	quiet := o.quiet
-	active := o.active
+	allFinished := o.allFinished
+	inFlight := o.inFlight
 	o.mu.Unlock()
-	if active == 0 {
+	if inFlight == 0 {
 		return nil
 	}
 	select {
-	case <-quiet:
+	case <-allFinished:
 		return nil
 	case <-ctx.Done():
-		return &DrainTimeout{Active: active}
+		return &DrainTimeout{Active: inFlight}
 	}
 }
 
@@ -216,19 +221,19 @@
 }
 
 func (e *DrainTimeout) Error() string {
-	return "exchanges are still in flight after the drain deadline"
+	return fmt.Sprintf("drain ended before all of %d exchanges in flight had finished", e.Active)
 }
 
-// Close stops everything, including exchanges in flight.
+// Close ends all exchanges, also those in flight, and releases all upstreams.
 func (o *Owner) Close() error {
 	o.mu.Lock()
 	o.draining = true
-	units := o.units
-	o.units = map[string]*unit{}
+	upstreams := o.upstreams
+	o.upstreams = map[string]*ownedUpstream{}
 	o.stop()
 	o.mu.Unlock()
 	o.tasks.Wait()
-	for _, u := range units {
+	for _, u := range upstreams {
 		u.close()
 	}
 	return nil
--- a/owner/poll.go
+++ b/owner/poll.go
@@ -13,7 +13,8 @@
 	pollTimeout  = 300 * time.Millisecond
 )
 
-// poller asks one upstream for its status on a connection of its own.
+// poller queries the status of one upstream at regular intervals, on a
+// connection of its own. Health reports and hints come from it.
 type poller struct {
 	dialer   upstream.Dialer
 	address  string
@@ -22,7 +23,7 @@
 	// mu guards all fields below.
 	mu          sync.Mutex
 	status      upstream.Status
-	known       bool
+	hasStatus   bool
 	statusAt    time.Time // when the query that returned status was sent
 	lastSuccess time.Time
 	failed      bool
@@ -49,73 +50,73 @@
 	}
 }
 
-// poll returns the connection for the next poll; nil after a failure, so that
-// a connection that went silent is not asked twice.
+// poll queries the status once and returns the connection for the next poll. It
+// returns nil after a failure, so that a silent connection is not used again.
 func (p *poller) poll(ctx context.Context, conn upstream.Conn) upstream.Conn {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	began := time.Now()
+	sentAt := time.Now()
 	if conn == nil {
 		c, err := p.dialer.Dial(ctx, p.address, p.database)
 		if err != nil {
-			p.fail()
+			p.markFailed()
 			return nil
 		}
 		conn = c
-		began = time.Now()
+		sentAt = time.Now()
 	}
-	status, err := statusOf(ctx, conn)
+	status, err := queryStatus(ctx, conn)
 	if err != nil {
 		closeConn(conn)
-		p.fail()
+		p.markFailed()
 		return nil
 	}
-	p.observe(status, began)
+	p.observe(status, sentAt)
 	return conn
 }
 
-// statusOf closes the connection when ctx ends, so that a connection that does
-// not answer never blocks its caller.
-func statusOf(ctx context.Context, conn upstream.Conn) (upstream.Status, error) {
+// queryStatus returns the server's status. It closes the connection when ctx
+// ends, so that a server that does not answer never blocks the caller.
+func queryStatus(ctx context.Context, conn upstream.Conn) (upstream.Status, error) {
 	defer context.AfterFunc(ctx, func() { closeConn(conn) })()
 	return conn.Status(ctx)
 }
 
-func (p *poller) fail() {
+func (p *poller) markFailed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failed = true
 }
 
-// observe takes a status that was asked for at the time began.
-func (p *poller) observe(status upstream.Status, began time.Time) {
+// observe stores a status whose query was sent at sentAt, unless a later query
+// has been answered already. Either way the upstream counts as reachable.
+func (p *poller) observe(status upstream.Status, sentAt time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failed = false
 	p.lastSuccess = time.Now()
-	if began.After(p.statusAt) {
+	if sentAt.After(p.statusAt) {
 		p.status = status
-		p.statusAt = began
-		p.known = true
+		p.statusAt = sentAt
+		p.hasStatus = true
 	}
 }
 
-// last returns the latest status and when it was asked for.
-func (p *poller) last() (status upstream.Status, at time.Time, known bool) {
+// lastStatus returns the latest status and when its query was sent.
+func (p *poller) lastStatus() (status upstream.Status, sentAt time.Time, hasStatus bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.status, p.statusAt, p.known
+	return p.status, p.statusAt, p.hasStatus
 }
 
-// unreachable is how long all queries have failed; zero if the last one
-// succeeded. A poller that does not come round counts as failing, for example
-// while a dial hangs.
+// unreachable returns how long all queries have failed; zero if the last one
+// succeeded. An overdue query counts as failed, for example while a dial hangs.
 func (p *poller) unreachable() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	since := time.Since(p.lastSuccess)
-	if !p.failed && since <= pollInterval+2*pollTimeout {
+	elapsed := time.Since(p.lastSuccess)
+	if !p.failed && elapsed <= pollInterval+2*pollTimeout {
 		return 0
 	}
-	return since
+	return elapsed
 }
--- a/owner/stream.go
+++ b/owner/stream.go
@@ -13,11 +13,12 @@
 	"lovageslip/upstream"
 )
 
-// stream is one exchange. Run is called by one goroutine at a time.
+// stream is one exchange on an owned upstream; see exchange.Stream. Run is
+// called by one goroutine at a time.
 type stream struct {
-	owner *Owner
-	unit  *unit
-	open  exchange.Open
+	owner    *Owner
+	upstream *ownedUpstream
+	open     exchange.Open
 	// ctx ends when the stream is closed.
 	ctx  context.Context
 	stop context.CancelFunc
@@ -28,14 +29,14 @@
 	running bool
 	// pinned is the connection of an open transaction.
 	pinned upstream.Conn
-	// cancel stops the part of Run that is in progress.
+	// cancel stops the step of Run that is in progress; nil if there is none.
 	cancel func(context.Context) error
 }
 
 var _ exchange.Stream = (*stream)(nil)
 
-func newStream(o *Owner, u *unit, open exchange.Open) *stream {
-	s := &stream{owner: o, unit: u, open: open}
+func newStream(o *Owner, u *ownedUpstream, open exchange.Open) *stream {
+	s := &stream{owner: o, upstream: u, open: open}
 	s.ctx, s.stop = context.WithCancel(o.ctx)
 	return s
 }
@@ -46,7 +47,7 @@
 
 // Run executes a batch; see exchange.Stream.
 func (s *stream) Run(ctx context.Context, batch upstream.Batch, sink upstream.Sink) (exchange.Done, error) {
-	pinned, err := s.enter()
+	pinned, err := s.beginBatch()
 	if err != nil {
 		return exchange.Done{}, err
 	}
@@ -55,23 +56,24 @@
 	defer context.AfterFunc(s.ctx, cancel)()
 	j := &job{stream: s, batch: batch, sink: sink, conn: pinned, continuation: pinned != nil, arrived: time.Now()}
 	done, err := j.run(ctx)
-	s.leave(j.conn)
+	s.endBatch(j.conn)
 	return done, err
 }
 
-// enter begins a batch. A stream counts as in flight from its first batch to
-// the end of its transaction.
-func (s *stream) enter() (upstream.Conn, error) {
+// beginBatch marks the stream as running and returns the connection of its open
+// transaction, if there is one. A stream counts as in flight from its first
+// batch to the end of its transaction.
+func (s *stream) beginBatch() (upstream.Conn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || s.running {
 		return nil, s.refuse(fault.ReasonProtocol, "the exchange has ended or is busy")
 	}
 	if s.pinned == nil {
-		if !s.owner.begin() {
+		if !s.owner.beginExchange() {
 			return nil, s.refuse(fault.ReasonShutdown, "the owner is shutting down")
 		}
-		s.unit.enter()
+		s.upstream.addStream()
 	}
 	s.running = true
 	pinned := s.pinned
@@ -79,9 +81,9 @@
 	return pinned, nil
 }
 
-// leave ends a batch. conn is the connection of a transaction that is still
-// open, or nil.
-func (s *stream) leave(conn upstream.Conn) {
+// endBatch ends what beginBatch began. conn is the connection of a transaction
+// that is still open, or nil.
+func (s *stream) endBatch(conn upstream.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running = false
@@ -91,18 +93,19 @@
 		go s.keepAlive(conn)
 		return
 	}
-	s.release(conn)
+	s.finishExchange(conn)
 }
 
 const (
-	// keepAliveInterval is a third of the time for which the server lets a
-	// transaction rest.
+	// keepAliveInterval is a third of the time after which the server ends an
+	// idle transaction.
 	keepAliveInterval = time.Second
 	keepAliveTimeout  = 500 * time.Millisecond
 )
 
-// keepAlive sends a query now and then while a transaction rests, so that the
-// server ends only the transactions of owners that do not run.
+// keepAlive sends a query at each interval while a transaction is idle between
+// two batches. The server's idle timeout then ends only the transactions of
+// owners that no longer run.
 func (s *stream) keepAlive(conn upstream.Conn) {
 	for pause.For(s.ctx, keepAliveInterval) {
 		if !s.keepAliveOnce(conn) {
@@ -111,7 +114,7 @@
 	}
 }
 
-// keepAliveOnce reports false once the transaction no longer rests. The next
+// keepAliveOnce reports false once the transaction is no longer idle. The next
 // batch waits until the query has been answered.
 func (s *stream) keepAliveOnce(conn upstream.Conn) bool {
 	s.mu.Lock()
@@ -121,24 +124,24 @@
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, keepAliveTimeout)
 	defer cancel()
-	// A failed transaction refuses the query, which keeps it alive as well.
-	// A broken connection is noticed by the next batch.
+	// The server refuses the query in a failed transaction, but it counts as
+	// activity there too. The next batch notices a broken connection.
 	_, _ = conn.Status(ctx)
 	return true
 }
 
-// release ends what the stream holds. A connection with an open transaction
-// is closed, because the server then rolls back for certain.
-func (s *stream) release(conn upstream.Conn) {
+// finishExchange ends the stream's use of the upstream. The connection of an
+// open transaction is closed, which makes the server roll back for certain.
+func (s *stream) finishExchange(conn upstream.Conn) {
 	if conn != nil {
-		s.unit.pool.Discard(conn)
+		s.upstream.pool.Discard(conn)
 	}
-	s.unit.leave()
-	s.owner.end()
+	s.upstream.removeStream()
+	s.owner.endExchange()
 }
 
-// onCancel sets what Cancel does from now on.
-func (s *stream) onCancel(f func(context.Context) error) {
+// setCancel sets the function that Cancel calls from now on.
+func (s *stream) setCancel(f func(context.Context) error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cancel = f
@@ -165,13 +168,13 @@
 	}
 	s.closed = true
 	if s.pinned != nil {
-		s.release(s.pinned)
+		s.finishExchange(s.pinned)
 		s.pinned = nil
 	}
 	return nil
 }
 
-// job is one batch on its way through the owner.
+// job is one batch from its arrival at the owner to the end of its answer.
 type job struct {
 	stream       *stream
 	batch        upstream.Batch
@@ -179,23 +182,23 @@
 	continuation bool
 	arrived      time.Time
 	class        class.Class
-	fresh        *freshness
+	freshness    *freshness
 	// conn is set while the job holds a connection; after run it is the
 	// connection of a transaction that is still open.
 	conn upstream.Conn
 	slot *admission.Slot
-	// restarted is true once the queue has stopped the work in favour of
+	// restarted is true once the queue has preempted the batch in favour of
 	// short work.
 	restarted bool
 }
 
 func (j *job) run(ctx context.Context) (exchange.Done, error) {
 	if err := j.admit(ctx); err != nil {
-		j.dropConn()
+		j.discardConn()
 		return exchange.Done{}, err
 	}
-	j.fresh = j.stream.unit.freshness(j.class, j.arrived)
-	defer j.fresh.done()
+	j.freshness = j.stream.upstream.freshness(j.class, j.arrived)
+	defer j.freshness.done()
 	result, err := j.execute(ctx)
 	if err != nil {
 		return exchange.Done{}, err
@@ -203,54 +206,56 @@
 	return j.complete(ctx, result)
 }
 
-// remaining is how long the batch may still wait for its start.
-func (j *job) remaining() time.Duration {
+// waitRemaining returns how long the batch may still wait for its start.
+func (j *job) waitRemaining() time.Duration {
 	return j.batch.WaitRemaining - time.Since(j.arrived)
 }
 
-// complete passes the withheld end of the answer on once the commit is
-// confirmed. No slot and no connection is held while it waits.
+// complete passes the withheld end of the answer to the caller once the commit
+// is confirmed. It holds no slot and no connection while it waits.
 func (j *job) complete(ctx context.Context, r upstream.Result) (exchange.Done, error) {
 	done := exchange.Done{State: r.State, DatabaseError: r.DatabaseError}
 	if r.Committed {
-		if err := j.confirm(ctx, r.After); err != nil {
-			j.dropConn()
+		if err := j.confirmCommit(ctx, r.After); err != nil {
+			j.discardConn()
 			return exchange.Done{}, err
 		}
 		done.Commit = r.After.Position()
 	}
 	if len(r.Tail) > 0 {
 		if err := j.sink(r.Tail); err != nil {
-			j.dropConn()
-			return exchange.Done{}, j.unknown(err)
+			j.discardConn()
+			return exchange.Done{}, j.outcomeUnknown(err)
 		}
 	}
 	done.Spent = time.Since(j.arrived)
-	done.Hint = j.stream.unit.hint()
+	done.Hint = j.stream.upstream.hint()
 	return done, nil
 }
 
-// confirm waits until a majority of the group holds the commit under the term
-// of the primary that made it.
-func (j *job) confirm(ctx context.Context, after upstream.Status) error {
-	u := j.stream.unit
+// confirmCommit waits until a majority of the group holds the commit in the
+// term of the primary that made it.
+func (j *job) confirmCommit(ctx context.Context, after upstream.Status) error {
+	u := j.stream.upstream
 	if after.Role != upstream.RolePrimary || after.Fenced > after.Term {
-		return j.unknown(&Unconfirmed{Term: after.Term})
+		return j.outcomeUnknown(&Unconfirmed{Term: after.Term})
 	}
-	c := u.confirm.start(&confirmation{term: after.Term, position: after.Position()})
-	if err := u.confirm.wait(ctx, c, j.confirmTimeout()); err != nil {
-		return j.unknown(err)
+	c := u.confirmer.start(&confirmation{term: after.Term, position: after.Position()})
+	if err := u.confirmer.wait(ctx, c, j.confirmTimeout()); err != nil {
+		return j.outcomeUnknown(err)
 	}
-	// A majority of members that were replaced meanwhile proves nothing. The
+	// Without a current view, the members that were counted may have been
+	// replaced, and their majority would prove nothing. With one it does: the
 	// control leader lets one lease pass between two changes of members.
 	if !j.stream.owner.opts.Leases.Current() {
-		return j.unknown(&Unconfirmed{Term: after.Term})
+		return j.outcomeUnknown(&Unconfirmed{Term: after.Term})
 	}
 	return nil
 }
 
-// confirmTimeout bounds the wait for a majority. An unknown outcome is worse for
-// a caller than a wait that its class allows.
+// confirmTimeout bounds the wait for a majority. Unless Options set it, it is at
+// least the wait that the class allows, because an unknown outcome is worse for
+// the caller than such a wait.
 func (j *job) confirmTimeout() time.Duration {
 	if fixed := j.stream.owner.opts.ConfirmTimeout; fixed > 0 {
 		return fixed
@@ -258,19 +263,20 @@
 	return max(minConfirmTimeout, j.class.Wait)
 }
 
-func (j *job) unknown(err error) error {
-	return j.unknownFor(fault.ReasonOutcomeUnknown, err)
+func (j *job) outcomeUnknown(err error) error {
+	return j.outcomeUnknownFor(fault.ReasonOutcomeUnknown, err)
 }
 
-func (j *job) unknownFor(reason fault.Reason, err error) error {
-	j.stream.count(reason)
+func (j *job) outcomeUnknownFor(reason fault.Reason, err error) error {
+	j.stream.countRefusal(reason)
 	return &fault.OutcomeUnknown{Reason: reason, Detail: err.Error(), Err: err}
 }
 
-// dropConn closes the connection, which rolls back what is open on it.
-func (j *job) dropConn() {
+// discardConn closes the connection; the server then rolls back a transaction
+// that is open on it.
+func (j *job) discardConn() {
 	if j.conn != nil {
-		j.stream.unit.pool.Discard(j.conn)
+		j.stream.upstream.pool.Discard(j.conn)
 		j.conn = nil
 	}
 }
--- a/owner/stream_test.go
+++ b/owner/stream_test.go
@@ -13,11 +13,11 @@
 	"lovageslip/upstream"
 )
 
-// hang makes batches with the payload "hang" last until they are cancelled,
-// their connection is closed or release is closed.
-func hang(s *server, release <-chan struct{}) {
+// hangBatches makes batches with the payload "hang" last until they are
+// cancelled, their connection is closed or release is closed.
+func hangBatches(s *server, release <-chan struct{}) {
 	s.set(func(s *server) {
-		s.behave = func(c *conn, b upstream.Batch) (upstream.Result, error) {
+		s.onBatch = func(c *conn, b upstream.Batch) (upstream.Result, error) {
 			if string(b.Payload) != "hang" {
 				return s.answer(b), nil
 			}
@@ -33,10 +33,11 @@
 	})
 }
 
-// background runs one batch on a new exchange and sends its error.
-func background(ctx context.Context, t *testing.T, o *Owner, class string, b upstream.Batch) <-chan error {
+// runInBackground runs one batch on a new exchange of upstream "a". It returns a
+// channel that receives the error of the run.
+func runInBackground(ctx context.Context, t *testing.T, o *Owner, class string, b upstream.Batch) <-chan error {
 	t.Helper()
-	s := open(t, o, "a", class)
+	s := openExchange(t, o, "a", class)
 	result := make(chan error, 1)
 	go func() {
 		_, err := s.Run(ctx, b, func([]byte) error { return nil })
@@ -57,33 +58,34 @@
 
 // Guards against a request that runs although it was reported as not run.
 func TestRefusedRequestNeverRan(t *testing.T) {
-	w, o := newWorld(t)
+	g, o := newFakeGroup(t)
 	release := make(chan struct{})
-	hang(w.servers["a"], release)
-	first := background(context.Background(), t, o, "soon", batch(upstream.ModeRead, "hang"))
-	second := background(context.Background(), t, o, "soon", batch(upstream.ModeRead, "hang"))
-	waitRunning(t, w.servers["a"], 2)
+	hangBatches(g.servers["a"], release)
+	first := runInBackground(context.Background(), t, o, "soon", batch(upstream.ModeRead, "hang"))
+	second := runInBackground(context.Background(), t, o, "soon", batch(upstream.ModeRead, "hang"))
+	waitRunning(t, g.servers["a"], 2)
 	short := batch(upstream.ModeRead, "refused")
 	short.WaitRemaining = 20 * time.Millisecond
-	_, _, err := run(t, o, "a", "soon", short)
+	_, _, err := runBatch(t, o, "a", "soon", short)
 	assert.Equal(t, reasonOf(err), fault.ReasonWaitExceeded)
 	close(release)
 	assert.NilError(t, <-first)
 	assert.NilError(t, <-second)
-	_, _, err = run(t, o, "a", "soon", batch(upstream.ModeRead, "later"))
+	_, _, err = runBatch(t, o, "a", "soon", batch(upstream.ModeRead, "later"))
 	assert.NilError(t, err)
-	for _, text := range w.servers["a"].runs() {
+	for _, text := range g.servers["a"].runs() {
 		assert.Assert(t, text != "refused")
 	}
 }
 
-// Guards against mixing transactions: a connection with an open transaction
-// must be closed when its exchange ends, whichever way it ends.
+// Guards against statements that run in another caller's transaction: a
+// connection with an open transaction must be closed, not reused, however its
+// exchange ends.
 func TestConnectionOfBrokenTransactionNeverReused(t *testing.T) {
-	w, o := newWorld(t)
-	server := w.servers["a"]
+	g, o := newFakeGroup(t)
+	server := g.servers["a"]
 	for i := range 5 {
-		s := open(t, o, "a", "now")
+		s := openExchange(t, o, "a", "now")
 		done, err := s.Run(context.Background(), batch(upstream.ModeWrite, "begin"), func([]byte) error { return nil })
 		assert.NilError(t, err)
 		assert.Equal(t, done.State, upstream.StateOpen)
@@ -94,73 +96,74 @@
 			return server.closed == i+1
 		})
 	}
-	open, idle := o.units["a"].pool.Size()
+	open, idle := o.upstreams["a"].pool.Size()
 	assert.Equal(t, open, 0)
 	assert.Equal(t, idle, 0)
 }
 
-// Guards against a pool that runs dry because of vanished callers, and
-// against slots that stay taken.
-func TestVanishedCallerFreesEverything(t *testing.T) {
-	w, o := newWorld(t)
-	hang(w.servers["a"], nil)
+// Guards against slots and connections that stay in use after callers have
+// disconnected during their batches.
+func TestCancelledRequestsFreeSlotsAndConnections(t *testing.T) {
+	g, o := newFakeGroup(t)
+	hangBatches(g.servers["a"], nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	for range 3 {
-		_ = background(ctx, t, o, "soon", batch(upstream.ModeRead, "hang"))
+		_ = runInBackground(ctx, t, o, "soon", batch(upstream.ModeRead, "hang"))
 	}
-	waitRunning(t, w.servers["a"], 2)
+	waitRunning(t, g.servers["a"], 2)
 	cancel()
-	waitRunning(t, w.servers["a"], 0)
-	_, _, err := run(t, o, "a", "soon", batch(upstream.ModeRead, "after"))
+	waitRunning(t, g.servers["a"], 0)
+	_, _, err := runBatch(t, o, "a", "soon", batch(upstream.ModeRead, "after"))
 	assert.NilError(t, err)
-	assert.Equal(t, o.units["a"].queue.Running(), 0)
-	assert.Equal(t, w.servers["a"].peak, 2)
+	assert.Equal(t, o.upstreams["a"].queue.Running(), 0)
+	assert.Equal(t, g.servers["a"].maxRunning, 2)
 }
 
-// Guards against minutes of waiting on a connection that delivers nothing.
-func TestSilentConnectionFound(t *testing.T) {
-	w, o := newWorld(t)
-	hang(w.servers["a"], nil)
+// Guards against a batch that waits for minutes on a connection that delivers
+// nothing.
+func TestSilentConnectionDetected(t *testing.T) {
+	g, o := newFakeGroup(t)
+	hangBatches(g.servers["a"], nil)
 	for range 20 {
-		_, _, err := run(t, o, "a", "soon", batch(upstream.ModeRead, "usual"))
+		_, _, err := runBatch(t, o, "a", "soon", batch(upstream.ModeRead, "usual"))
 		assert.NilError(t, err)
 	}
-	err := <-background(context.Background(), t, o, "soon", batch(upstream.ModeRead, "hang"))
+	err := <-runInBackground(context.Background(), t, o, "soon", batch(upstream.ModeRead, "hang"))
 	assert.Equal(t, reasonOf(err), fault.ReasonSilentConnection)
 	assert.Assert(t, !isNotRun(err))
 }
 
-// Guards against killing a statement that the server still executes, and
-// against waiting once the server says that it does not.
-func TestWorkingStatementIsNotTakenForSilent(t *testing.T) {
-	w, o := newWorld(t)
+// Guards against ending a statement that the server still executes, and
+// against waiting on after the server has said that it executes nothing.
+func TestExecutingStatementIsNotEndedAsSilent(t *testing.T) {
+	g, o := newFakeGroup(t)
 	release := make(chan struct{})
-	hang(w.servers["a"], release)
-	w.set(func() { w.active = func() (bool, bool) { return true, true } })
-	result := background(context.Background(), t, o, "soon", batch(upstream.ModeRead, "hang"))
-	eventually(t, "several probes", func() bool { return w.probed.Load() >= 5 })
+	hangBatches(g.servers["a"], release)
+	g.set(func() { g.activity = func() (bool, bool) { return true, true } })
+	result := runInBackground(context.Background(), t, o, "soon", batch(upstream.ModeRead, "hang"))
+	eventually(t, "several probes", func() bool { return g.probed.Load() >= 5 })
 	select {
 	case err := <-result:
-		t.Fatalf("a working statement was ended: %v", err)
+		t.Fatalf("a statement that the server still executes was ended: %v", err)
 	default:
 	}
-	w.set(func() { w.active = func() (bool, bool) { return false, true } })
+	g.set(func() { g.activity = func() (bool, bool) { return false, true } })
 	assert.Equal(t, reasonOf(<-result), fault.ReasonSilentConnection)
 }
 
-// Guards against new work without a lease, and against breaking work that
-// began with one.
-func TestLeaseLapseStopsAdmissionButNotWorkInFlight(t *testing.T) {
-	w, o := newWorld(t)
+// Guards against new work without a lease in force, and against interrupting
+// work that began under a lease.
+func TestLapsedLeaseStopsNewWorkButNotWorkInFlight(t *testing.T) {
+	g, o := newFakeGroup(t)
 	release := make(chan struct{})
-	hang(w.servers["a"], release)
-	inFlight := background(context.Background(), t, o, "soon", batch(upstream.ModeRead, "hang"))
-	tx := open(t, o, "a", "now")
+	hangBatches(g.servers["a"], release)
+	inFlight := runInBackground(context.Background(), t, o, "soon", batch(upstream.ModeRead, "hang"))
+	tx := openExchange(t, o, "a", "now")
 	_, err := tx.Run(context.Background(), batch(upstream.ModeWrite, "begin"), func([]byte) error { return nil })
 	assert.NilError(t, err)
-	waitRunning(t, w.servers["a"], 1)
-	w.lapse()
-	_, _, err = run(t, o, "a", "soon", batch(upstream.ModeRead, "new"))
+	waitRunning(t, g.servers["a"], 1)
+	g.expireLease()
+	_, _, err = runBatch(t, o, "a", "soon", batch(upstream.ModeRead, "new"))
 	assert.Equal(t, reasonOf(err), fault.ReasonLeaseLapsed)
 	_, err = tx.Run(context.Background(), batch(upstream.ModeWrite, "more"), func([]byte) error { return nil })
 	assert.NilError(t, err)
@@ -169,27 +172,27 @@
 	assert.NilError(t, tx.Close())
 }
 
-// Guards against new work on an upstream that leaves, also for requests that
-// were queued before.
+// Guards against new work on an upstream that is leaving. Requests that queued
+// before the announcement are refused too; open transactions go on.
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
-	w, o := newWorld(t)
+	g, o := newFakeGroup(t)
 	release := make(chan struct{})
-	hang(w.servers["a"], release)
-	w.servers["b"].set(func(s *server) { s.status.Offset = 1000 })
-	tx := open(t, o, "a", "now")
+	hangBatches(g.servers["a"], release)
+	g.servers["b"].set(func(s *server) { s.status.Offset = 1000 })
+	tx := openExchange(t, o, "a", "now")
 	_, err := tx.Run(context.Background(), batch(upstream.ModeWrite, "begin"), func([]byte) error { return nil })
 	assert.NilError(t, err)
-	first := background(context.Background(), t, o, "soon", batch(upstream.ModeWrite, "hang"))
-	second := background(context.Background(), t, o, "soon", batch(upstream.ModeWrite, "hang"))
-	waitRunning(t, w.servers["a"], 2)
-	queued := background(context.Background(), t, o, "soon", batch(upstream.ModeRead, "queued"))
-	eventually(t, "the request to queue", func() bool { return o.units["a"].queue.Queued() == 1 })
-	w.change(func(v *registry.View) {
+	first := runInBackground(context.Background(), t, o, "soon", batch(upstream.ModeWrite, "hang"))
+	second := runInBackground(context.Background(), t, o, "soon", batch(upstream.ModeWrite, "hang"))
+	waitRunning(t, g.servers["a"], 2)
+	queued := runInBackground(context.Background(), t, o, "soon", batch(upstream.ModeRead, "queued"))
+	eventually(t, "the request to queue", func() bool { return o.upstreams["a"].queue.Queued() == 1 })
+	g.updateView(func(v *registry.View) {
 		up := v.Upstreams["a"]
 		up.Leaving = true
 		v.Upstreams["a"] = up
 	})
-	_, _, err = run(t, o, "a", "soon", batch(upstream.ModeRead, "new"))
+	_, _, err = runBatch(t, o, "a", "soon", batch(upstream.ModeRead, "new"))
 	assert.Equal(t, reasonOf(err), fault.ReasonLeaving)
 	close(release)
 	assert.NilError(t, <-first)
@@ -198,29 +201,29 @@
 	_, err = tx.Run(context.Background(), batch(upstream.ModeWrite, "more"), func([]byte) error { return nil })
 	assert.NilError(t, err)
 	assert.NilError(t, tx.Close())
-	for _, text := range w.servers["a"].runs() {
+	for _, text := range g.servers["a"].runs() {
 		assert.Assert(t, text != "queued" && text != "new")
 	}
 }
 
 // Guards against a shutdown that interrupts a transaction or takes new work.
-func TestDrainFinishesWhatIsInFlight(t *testing.T) {
-	w, o := newWorld(t)
-	tx := open(t, o, "a", "now")
+func TestDrainWaitsForExchangesInFlight(t *testing.T) {
+	g, o := newFakeGroup(t)
+	tx := openExchange(t, o, "a", "now")
 	_, err := tx.Run(context.Background(), batch(upstream.ModeWrite, "begin"), func([]byte) error { return nil })
 	assert.NilError(t, err)
-	late := open(t, o, "a", "now")
+	late := openExchange(t, o, "a", "now")
 	drained := make(chan error, 1)
 	go func() { drained <- o.Drain(context.Background()) }()
 	eventually(t, "the drain to begin", func() bool {
 		_, err := late.Run(context.Background(), batch(upstream.ModeRead, "late"), func([]byte) error { return nil })
 		return reasonOf(err) == fault.ReasonShutdown
 	})
-	follow(w, "b")
-	w.servers["b"].set(func(s *server) { s.status.Offset = 100 })
+	catchUp(g, "b")
+	g.servers["b"].set(func(s *server) { s.status.Offset = 100 })
 	select {
 	case err := <-drained:
-		t.Fatalf("drained with an open transaction: %v", err)
+		t.Fatalf("Drain returned while a transaction was open: %v", err)
 	default:
 	}
 	done, err := tx.Run(context.Background(), batch(upstream.ModeWrite, "commit"), func([]byte) error { return nil })
@@ -229,34 +232,33 @@
 	assert.NilError(t, <-drained)
 }
 
-// Guards against blocking the last slot: a read that turned out long is
-// stopped in favour of short work, and its caller still gets the whole answer
-// once.
-func TestStoppedReadRunsAgain(t *testing.T) {
-	w, o := newWorld(t)
-	server := w.servers["a"]
+// Guards against long reads that keep all slots from short work. One of them is
+// preempted and runs again later, and its caller gets the whole answer once.
+func TestPreemptedReadRunsAgain(t *testing.T) {
+	g, o := newFakeGroup(t)
+	server := g.servers["a"]
 	release := make(chan struct{})
-	hang(server, release)
+	hangBatches(server, release)
 	for range 50 {
-		_, _, err := run(t, o, "a", "soon", batch(upstream.ModeRead, "usual"))
+		_, _, err := runBatch(t, o, "a", "soon", batch(upstream.ModeRead, "usual"))
 		assert.NilError(t, err)
 	}
-	first := background(context.Background(), t, o, "soon", batch(upstream.ModeRead, "hang"))
-	second := background(context.Background(), t, o, "soon", batch(upstream.ModeRead, "hang"))
+	first := runInBackground(context.Background(), t, o, "soon", batch(upstream.ModeRead, "hang"))
+	second := runInBackground(context.Background(), t, o, "soon", batch(upstream.ModeRead, "hang"))
 	waitRunning(t, server, 2)
-	_, _, err := run(t, o, "a", "soon", batch(upstream.ModeRead, "short"))
+	_, _, err := runBatch(t, o, "a", "soon", batch(upstream.ModeRead, "short"))
 	assert.NilError(t, err)
 	close(release)
 	assert.NilError(t, <-first)
 	assert.NilError(t, <-second)
 }
 
-// Guards against a cancelled statement that goes on, and against the late
-// cancel request hitting the next user of the connection.
-func TestCancelledBatchLosesItsConnection(t *testing.T) {
-	w, o := newWorld(t)
-	hang(w.servers["a"], nil)
-	s := open(t, o, "a", "soon")
+// Guards against a cancelled statement that goes on, and against a late cancel
+// request that stops the next batch on the connection.
+func TestConnectionOfCancelledBatchIsClosed(t *testing.T) {
+	g, o := newFakeGroup(t)
+	hangBatches(g.servers["a"], nil)
+	s := openExchange(t, o, "a", "soon")
 	result := make(chan error, 1)
 	go func() {
 		done, err := s.Run(context.Background(), batch(upstream.ModeRead, "hang"), func([]byte) error { return nil })
@@ -265,53 +267,54 @@
 		}
 		result <- err
 	}()
-	waitRunning(t, w.servers["a"], 1)
+	waitRunning(t, g.servers["a"], 1)
 	assert.NilError(t, s.Cancel(context.Background()))
 	assert.NilError(t, <-result)
-	open, _ := o.units["a"].pool.Size()
+	open, _ := o.upstreams["a"].pool.Size()
 	assert.Equal(t, open, 0)
 }
 
-// Guards against idle connections that a former owner keeps from the next one.
-func TestLeaseLapseClosesIdleConnections(t *testing.T) {
-	w, o := newWorld(t)
-	_, _, err := run(t, o, "a", "soon", batch(upstream.ModeRead, "select"))
+// Guards against a former owner whose idle connections use up the upstream's
+// limit, so that the next owner can't connect.
+func TestLapsedLeaseClosesIdleConnections(t *testing.T) {
+	g, o := newFakeGroup(t)
+	_, _, err := runBatch(t, o, "a", "soon", batch(upstream.ModeRead, "select"))
 	assert.NilError(t, err)
-	w.lapse()
+	g.expireLease()
 	eventually(t, "idle connections to close", func() bool {
-		open, _ := o.units["a"].pool.Size()
+		open, _ := o.upstreams["a"].pool.Size()
 		return open == 0
 	})
 }
 
-// Guards against use of an upstream that another host owns.
-func TestChangeOfOwnerEndsNewWork(t *testing.T) {
-	w, o := newWorld(t)
-	s := open(t, o, "a", "soon")
-	w.change(func(v *registry.View) {
+// Guards against new work on an upstream that another host has come to own.
+func TestNewWorkRefusedAfterChangeOfOwner(t *testing.T) {
+	g, o := newFakeGroup(t)
+	s := openExchange(t, o, "a", "soon")
+	g.updateView(func(v *registry.View) {
 		up := v.Upstreams["a"]
 		up.Owner = "other"
 		v.Upstreams["a"] = up
 	})
 	_, err := s.Run(context.Background(), batch(upstream.ModeRead, "new"), func([]byte) error { return nil })
 	assert.Equal(t, reasonOf(err), fault.ReasonNotOwner)
-	assert.Equal(t, len(w.servers["a"].runs()), 0)
+	assert.Equal(t, len(g.servers["a"].runs()), 0)
 }
 
 // Guards against requests that run under a configuration older than the
 // owner's.
 func TestOldConfigurationRefused(t *testing.T) {
-	w, o := newWorld(t)
-	w.change(func(v *registry.View) { v.ConfigVersion = 2 })
-	_, _, err := run(t, o, "a", "soon", batch(upstream.ModeRead, "old"))
+	g, o := newFakeGroup(t)
+	g.updateView(func(v *registry.View) { v.ConfigVersion = 2 })
+	_, _, err := runBatch(t, o, "a", "soon", batch(upstream.ModeRead, "old"))
 	assert.Equal(t, reasonOf(err), fault.ReasonConfigBehind)
-	assert.Equal(t, len(w.servers["a"].runs()), 0)
+	assert.Equal(t, len(g.servers["a"].runs()), 0)
 }
 
-// Guards against a promotion that starts late because a dead upstream is
-// reported as healthy.
+// Guards against a late failover because a failed upstream is reported as
+// healthy.
 func TestHealthReportsUnreachableUpstream(t *testing.T) {
-	w, o := newWorld(t)
+	g, o := newFakeGroup(t)
 	healthOf := func(name string) Health {
 		for _, h := range o.Health() {
 			if h.Upstream == name {
@@ -322,18 +325,18 @@
 	}
 	eventually(t, "a status", func() bool { return healthOf("a").Reachable })
 	assert.Assert(t, healthOf("a").Primary)
-	w.servers["a"].set(func(s *server) { s.down = true })
+	g.servers["a"].set(func(s *server) { s.down = true })
 	eventually(t, "the report", func() bool { return healthOf("a").Unreachable > 300*time.Millisecond })
 	assert.Assert(t, !healthOf("a").Reachable)
 }
 
-// Guards against new work that waits on an upstream known to be cut off, and
-// against giving it an unknown outcome.
+// Guards against new work that waits on an upstream known to be unreachable and
+// ends with an unknown outcome, instead of being refused as not run.
 func TestNewWorkOnUnreachableUpstreamRefused(t *testing.T) {
-	w, o := newWorld(t)
-	w.servers["b"].set(func(s *server) { s.down = true })
-	eventually(t, "the poller to notice", func() bool { return o.units["b"].poller.unreachable() >= refuseAfter })
-	_, _, err := run(t, o, "b", "soon", batch(upstream.ModeRead, "select"))
+	g, o := newFakeGroup(t)
+	g.servers["b"].set(func(s *server) { s.down = true })
+	eventually(t, "the poller to notice", func() bool { return o.upstreams["b"].poller.unreachable() >= refuseUnreachableAfter })
+	_, _, err := runBatch(t, o, "b", "soon", batch(upstream.ModeRead, "select"))
 	assert.Assert(t, isNotRun(err))
 	assert.Equal(t, reasonOf(err), fault.ReasonUpstreamUnavailable)
 }
@@ -341,18 +344,18 @@
 // Guards against a deadlock in which new work holds all slots while it waits
 // for connections that open transactions hold.
 func TestTransactionsFinishWhenConnectionsRunOut(t *testing.T) {
-	w, o := newWorld(t)
-	w.servers["b"].set(func(s *server) { s.status.Offset = 1000 })
+	g, o := newFakeGroup(t)
+	g.servers["b"].set(func(s *server) { s.status.Offset = 1000 })
 	var streams []exchange.Stream
 	for range 8 {
-		s := open(t, o, "a", "now")
+		s := openExchange(t, o, "a", "now")
 		_, err := s.Run(context.Background(), batch(upstream.ModeWrite, "begin"), func([]byte) error { return nil })
 		assert.NilError(t, err)
 		streams = append(streams, s)
 	}
 	var results []<-chan error
 	for range 6 {
-		results = append(results, background(context.Background(), t, o, "soon", batch(upstream.ModeRead, "select")))
+		results = append(results, runInBackground(context.Background(), t, o, "soon", batch(upstream.ModeRead, "select")))
 	}
 	for _, s := range streams {
 		_, err := s.Run(context.Background(), batch(upstream.ModeWrite, "commit"), func([]byte) error { return nil })
--- a/owner/unit.go
+++ b/owner/unit.go
@@ -14,19 +14,20 @@
 	"lovageslip/registry"
 )
 
-// unit is one owned upstream with its queue, connections and watchers.
-type unit struct {
-	owner    *Owner
-	name     string
-	address  string
-	database string
-	queue    *admission.Queue
-	pool     *pool.Pool
-	poller   *poller
-	confirm  *confirmer
-	ctx      context.Context
-	stop     context.CancelFunc
-	tasks    conc.WaitGroup
+// ownedUpstream is an upstream that this host owns, with its admission queue,
+// its connections, its status poller and the confirmer of its commits.
+type ownedUpstream struct {
+	owner     *Owner
+	name      string
+	address   string
+	database  string
+	queue     *admission.Queue
+	pool      *pool.Pool
+	poller    *poller
+	confirmer *confirmer
+	ctx       context.Context
+	stop      context.CancelFunc
+	tasks     conc.WaitGroup
 
 	// mu guards all fields below.
 	mu      sync.Mutex
@@ -34,10 +35,11 @@
 	retired bool
 }
 
-func newUnit(o *Owner, up registry.Upstream) *unit {
-	u := &unit{owner: o, name: up.Name, address: up.Address, database: up.Database}
-	// A name of its own: a counter name must not come with different labels, and
-	// the owner counts refusals without the label upstream.
+func newOwnedUpstream(o *Owner, up registry.Upstream) *ownedUpstream {
+	u := &ownedUpstream{owner: o, name: up.Name, address: up.Address, database: up.Database}
+	// The prefix keeps these counters apart from those of the owner: a counter
+	// must always have the same labels, and the owner counts refusals without
+	// the label upstream.
 	scope := o.metrics.SubScope("upstream").Tagged(map[string]string{"upstream": up.Name})
 	u.queue = admission.New(admission.Options{
 		Log: o.opts.Log, Metrics: scope, Slots: up.Slots, Bounds: o.opts.Bounds, Policy: o.opts.Policy(),
@@ -47,16 +49,17 @@
 		Address: up.Address, Database: up.Database, MaxConnections: up.MaxConnections,
 	})
 	u.poller = &poller{dialer: o.opts.Dialer, address: up.Address, database: up.Database, lastSuccess: time.Now()}
-	u.confirm = newConfirmer(o.opts.Dialer, o.log, up)
+	u.confirmer = newConfirmer(o.opts.Dialer, o.log, up)
 	u.ctx, u.stop = context.WithCancel(o.ctx)
 	u.tasks.Go(func() { u.poller.run(u.ctx) })
-	u.tasks.Go(u.followLease)
+	u.tasks.Go(u.closeIdleWithoutLease)
 	return u
 }
 
-// followLease closes idle connections while the lease is not in force: another
-// host may own the upstream by then and count on its connections.
-func (u *unit) followLease() {
+// closeIdleWithoutLease closes idle connections while the lease is not in
+// force. Another host may own the upstream by then and need all connections
+// that the server accepts.
+func (u *ownedUpstream) closeIdleWithoutLease() {
 	for u.ctx.Err() == nil {
 		if _, inForce := u.owner.opts.Leases.Lease(u.name); !inForce {
 			u.pool.CloseIdle()
@@ -65,20 +68,20 @@
 	}
 }
 
-// update follows a change of the registry.
-func (u *unit) update(up registry.Upstream, view *registry.View) {
+// update applies a change of the registry's view.
+func (u *ownedUpstream) update(up registry.Upstream, view *registry.View) {
 	u.queue.SetSlots(up.Slots)
 	u.pool.SetLimit(up.MaxConnections)
-	u.confirm.update(view)
+	u.confirmer.update(view)
 }
 
-func (u *unit) enter() {
+func (u *ownedUpstream) addStream() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.streams++
 }
 
-func (u *unit) leave() {
+func (u *ownedUpstream) removeStream() {
 	u.mu.Lock()
 	u.streams--
 	last := u.streams == 0 && u.retired
@@ -88,38 +91,38 @@
 	}
 }
 
-// retire closes the unit once its exchanges in flight have finished. Its idle
-// connections are closed at once, because the next owner needs them.
-func (u *unit) retire() {
+// retire releases the upstream once its exchanges in flight have finished. The
+// idle connections are closed at once, because the next owner needs them.
+func (u *ownedUpstream) retire() {
 	u.mu.Lock()
 	u.retired = true
-	idle := u.streams == 0
+	unused := u.streams == 0
 	u.mu.Unlock()
 	u.pool.Close()
-	if idle {
+	if unused {
 		u.close()
 	}
 }
 
-func (u *unit) close() {
+func (u *ownedUpstream) close() {
 	u.stop()
 	u.pool.Close()
-	u.confirm.close()
+	u.confirmer.close()
 	u.tasks.Wait()
 }
 
-func (u *unit) hint() exchange.Hint {
-	status, at, known := u.poller.last()
+func (u *ownedUpstream) hint() exchange.Hint {
+	status, sentAt, hasStatus := u.poller.lastStatus()
 	hint := exchange.Hint{
 		Upstream:     u.name,
 		ExpectedWait: u.queue.ExpectedWait(),
 		Queued:       u.queue.Queued(),
 	}
 	hint.Interval, hint.Slots = u.queue.Pace()
-	if known {
+	if hasStatus {
 		hint.Position = status.Position()
 		hint.Primary = u.isPrimary(status)
-		hint.DataAge = u.dataAge(status, at)
+		hint.DataAge = u.dataAge(status, sentAt)
 	}
 	return hint
 }
--- a/owner/watcher.go
+++ b/owner/watcher.go
@@ -10,46 +10,50 @@
 )
 
 const (
-	// watchInterval keeps the age of a primary low without any request.
+	// watchInterval is the time between queries while no confirmation is
+	// pending. They keep the confirmed age of the primary's data low.
 	watchInterval = 200 * time.Millisecond
-	// waitChunk bounds how long a wait for a commit delays a status query on
-	// the same connection.
-	waitChunk = 20 * time.Millisecond
-	// statusSpacing bounds the status queries that fresh reads cause.
-	statusSpacing = time.Millisecond
-	watchTimeout  = 300 * time.Millisecond
-	rewatchPause  = 100 * time.Millisecond
+	// maxPositionWait bounds how long a wait for a commit delays a status
+	// query on the same connection.
+	maxPositionWait = 20 * time.Millisecond
+	// minQueryInterval limits the rate of the queries that confirmations
+	// cause, for example for reads of current data.
+	minQueryInterval   = time.Millisecond
+	memberQueryTimeout = 300 * time.Millisecond
+	redialDelay        = 100 * time.Millisecond
 )
 
-// watcher follows one other member of the group on one connection.
+// watcher queries one other member of the group, on one connection at a time,
+// and hands the answers to the confirmer.
 type watcher struct {
 	confirmer *confirmer
 	name      string
 	address   string
 	stop      context.CancelFunc
-	kick      chan struct{} // buffered, capacity 1
+	wakeup    chan struct{} // buffered, capacity 1
 
 	// latest is guarded by the confirmer's lock.
-	latest report
+	latest statusReport
 }
 
 func (w *watcher) wake() {
 	select {
-	case w.kick <- struct{}{}:
+	case w.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 func (w *watcher) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		w.session(ctx)
-		pause.For(ctx, rewatchPause/2+rand.N(rewatchPause))
+		w.dialAndQuery(ctx)
+		pause.For(ctx, redialDelay/2+rand.N(redialDelay))
 	}
 }
 
-// session asks on one connection until it fails.
-func (w *watcher) session(ctx context.Context) {
-	dialCtx, cancel := context.WithTimeout(ctx, watchTimeout)
+// dialAndQuery opens one connection and queries the member on it until a query
+// fails.
+func (w *watcher) dialAndQuery(ctx context.Context) {
+	dialCtx, cancel := context.WithTimeout(ctx, memberQueryTimeout)
 	conn, err := w.confirmer.dialer.Dial(dialCtx, w.address, w.confirmer.database)
 	cancel()
 	if err != nil {
@@ -57,41 +61,43 @@
 	}
 	defer closeConn(conn)
 	for ctx.Err() == nil {
-		began := time.Now()
-		status, err := w.ask(ctx, conn)
+		sentAt := time.Now()
+		status, err := w.query(ctx, conn)
 		if err != nil {
-			w.confirmer.log.Warn("member does not answer", "upstream", w.name, "err", err)
+			w.confirmer.log.Warn("query to a group member failed", "upstream", w.name, "err", err)
 			return
 		}
-		w.confirmer.observe(w, report{status: status, began: began})
-		w.idle(ctx, began)
+		w.confirmer.observe(w, statusReport{status: status, sentAt: sentAt})
+		w.awaitNext(ctx, sentAt)
 	}
 }
 
-// ask sends what is needed most.
-func (w *watcher) ask(ctx context.Context, conn upstream.Conn) (upstream.Status, error) {
-	status, position := w.confirmer.demand(w)
-	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
+// query asks for a status or, if only a position is needed, waits until the
+// member has it.
+func (w *watcher) query(ctx context.Context, conn upstream.Conn) (upstream.Status, error) {
+	needStatus, position := w.confirmer.nextQuery(w)
+	ctx, cancel := context.WithTimeout(ctx, memberQueryTimeout)
 	defer cancel()
 	// A member that does not answer must not block its watcher.
 	defer context.AfterFunc(ctx, func() { closeConn(conn) })()
-	if !status && position != (upstream.Position{}) {
-		return conn.Wait(ctx, position, waitChunk)
+	if !needStatus && position != (upstream.Position{}) {
+		return conn.Wait(ctx, position, maxPositionWait)
 	}
 	return conn.Status(ctx)
 }
 
-// idle returns once something is needed or the interval has passed.
-func (w *watcher) idle(ctx context.Context, began time.Time) {
-	if status, position := w.confirmer.demand(w); status || position != (upstream.Position{}) {
-		pause.For(ctx, statusSpacing-time.Since(began))
+// awaitNext returns when the next query is due: after minQueryInterval if a
+// confirmation needs one, otherwise after a wake or watchInterval.
+func (w *watcher) awaitNext(ctx context.Context, sentAt time.Time) {
+	if needStatus, position := w.confirmer.nextQuery(w); needStatus || position != (upstream.Position{}) {
+		pause.For(ctx, minQueryInterval-time.Since(sentAt))
 		return
 	}
 	timer := time.NewTimer(watchInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-w.kick:
+	case <-w.wakeup:
 	case <-timer.C:
 	}
 }
