--- a/exchange/client.go
+++ b/exchange/client.go
@@ -38,9 +38,9 @@
 	log     *slog.Logger
 	metrics tally.Scope
 
-	mu    sync.Mutex
-	peers map[string]*peer // guarded by mu, by address
-	swept time.Time        // guarded by mu
+	mu         sync.Mutex
+	peers      map[string]*peer // guarded by mu; keyed by address
+	lastExpiry time.Time        // guarded by mu
 }
 
 // NewClient returns a client.
@@ -52,7 +52,7 @@
 		options.Scheme = "http"
 	}
 	return &Client{
-		http:    coalesced(options.HTTP),
+		http:    withCoalescing(options.HTTP),
 		scheme:  options.Scheme,
 		log:     logging.For(options.Log, "exchange client"),
 		metrics: metrics.OrNoop(options.Metrics),
@@ -84,33 +84,33 @@
 		p = &peer{service: c.service(address)}
 		c.peers[address] = p
 	}
-	p.used = now()
-	c.sweep(p.used)
+	p.lastUsed = now()
+	c.expireIdle(p.lastUsed)
 	return p
 }
 
-// sweep ends streams that have been idle for long, and forgets owners that are
-// not used any more. The caller holds mu.
-func (c *Client) sweep(at time.Time) {
-	if at.Sub(c.swept) < maxLinkIdle {
+// expireIdle closes streams that have been idle for more than maxLinkIdle, and
+// removes owners that were not used for that long. The caller holds mu.
+func (c *Client) expireIdle(t time.Time) {
+	if t.Sub(c.lastExpiry) < maxLinkIdle {
 		return
 	}
-	c.swept = at
-	since := at.Add(-maxLinkIdle)
+	c.lastExpiry = t
+	cutoff := t.Add(-maxLinkIdle)
 	for address, p := range c.peers {
-		if p.expire(since) == 0 && p.used.Before(since) {
+		if p.expire(cutoff) == 0 && p.lastUsed.Before(cutoff) {
 			delete(c.peers, address)
 		}
 	}
 }
 
 func (c *Client) service(address string) lovageslipv1connect.ExchangeServiceClient {
-	// Answers are compressed by nothing: the hop is inside a data centre.
+	// Answers are not compressed, because they stay inside a data centre.
 	noCompression := connect.WithAcceptCompression("gzip", nil, nil)
 	return lovageslipv1connect.NewExchangeServiceClient(c.http, c.scheme+"://"+address, noCompression)
 }
 
-// clientStream is one exchange. It takes a link at the first Run.
+// clientStream is one exchange. It acquires a link at the first Run.
 type clientStream struct {
 	peer *peer
 	open Open
@@ -126,22 +126,24 @@
 	if err != nil {
 		return Done{}, err
 	}
-	// Closing the link ends the stream, so the owner stops the batch.
-	release := context.AfterFunc(ctx, link.close)
+	// If the caller's context ends, closing the link ends the stream, and the
+	// owner stops the batch.
+	stop := context.AfterFunc(ctx, link.close)
 	done, err := link.run(batch, sink)
-	clean := release() && link.reusable()
+	reusable := stop() && link.reusable()
 	if err != nil {
-		s.detach(link, clean)
-		return Done{}, explain(ctx, err)
+		s.detach(link, reusable)
+		return Done{}, withCancelReason(ctx, err)
 	}
-	if done.State == stateIdle || !clean {
-		s.detach(link, clean)
+	if done.State == stateIdle || !reusable {
+		s.detach(link, reusable)
 	}
 	return done, nil
 }
 
-// explain names a cancelled caller as the reason of a broken stream.
-func explain(ctx context.Context, err error) error {
+// withCancelReason gives an unknown outcome the reason cancelled if the stream
+// broke because the caller's context ended.
+func withCancelReason(ctx context.Context, err error) error {
 	if ctx.Err() == nil {
 		return err
 	}
@@ -151,7 +153,8 @@
 	return err
 }
 
-// acquire returns the exchange's link, or takes one and sends Open on it.
+// acquire returns the exchange's link. The first call gets one from the peer and
+// sends Open on it.
 func (s *clientStream) acquire(ctx context.Context, requestID string) (*link, error) {
 	s.mu.Lock()
 	link, closed := s.link, s.closed
@@ -172,14 +175,15 @@
 	return link, nil
 }
 
-// detach ends the exchange and gives its link back if it is clean.
-func (s *clientStream) detach(link *link, clean bool) {
+// detach ends the exchange. Its link goes back to the peer's idle links if it
+// can be used again, and is closed otherwise.
+func (s *clientStream) detach(link *link, reusable bool) {
 	s.mu.Lock()
 	s.link = nil
 	s.closed = true
 	s.mu.Unlock()
-	if clean {
-		s.peer.put(link)
+	if reusable {
+		s.peer.release(link)
 		return
 	}
 	link.close()
@@ -211,5 +215,5 @@
 
 var cancelMessage = &lovageslipv1.RunRequest{Message: &lovageslipv1.RunRequest_Cancel{Cancel: &lovageslipv1.Cancel{}}}
 
-// now is the time source of idle links.
+// now returns the time for the expiry of idle links; tests replace it.
 var now = time.Now
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -1,6 +1,7 @@
-// Package exchange is the port between the entry role and the owner role. The
-// owner implements Handler; the client in this package implements it for
-// owners in other processes.
+// Package exchange passes requests from the entry role, which serves callers,
+// to the owner role, which runs them on an upstream. The entry role opens
+// exchanges through a Gateway, and the owner implements Handler. For owners in
+// other processes, Client and Server carry exchanges over HTTP/2.
 package exchange
 
 import (
@@ -10,14 +11,14 @@
 	"lovageslip/upstream"
 )
 
-// Open states what an exchange requires. An exchange runs one request, or one
-// transaction of several batches, on one upstream.
+// Open holds the parameters of a new exchange. An exchange runs one request, or
+// one transaction of several batches, on one upstream.
 type Open struct {
 	Upstream string
 	Class    string
-	// ConfigVersion is the version that the entry proxy holds.
+	// ConfigVersion is the configuration version that the entry proxy holds.
 	ConfigVersion uint64
-	// MinPosition is the session position that reads must include.
+	// MinPosition is the log position of the session, which reads must include.
 	MinPosition upstream.Position
 	// Caller identifies the caller for limits per caller.
 	Caller string
@@ -25,7 +26,8 @@
 	EntryHost string
 }
 
-// Hint is an owner's view of its upstream. It may be old.
+// Hint is an owner's last known state of its upstream, which helps entry proxies
+// to choose an upstream. It may be out of date.
 type Hint struct {
 	Upstream     string
 	Position     upstream.Position
@@ -78,7 +80,7 @@
 	OpenAt(ctx context.Context, address string, open Open) (Stream, error)
 }
 
-// HintSink takes owners' hints as they arrive. It is safe for concurrent use.
+// HintSink receives owners' hints as they arrive. It is safe for concurrent use.
 type HintSink interface {
 	Observe(hint Hint)
 }
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -18,7 +18,7 @@
 	"lovageslip/upstream"
 )
 
-func TestEverythingArrives(t *testing.T) {
+func TestAllFieldsCrossTheWire(t *testing.T) {
 	done := exchange.Done{
 		State:         upstream.StateIdle,
 		Commit:        upstream.Position{Term: 3, Offset: 17},
@@ -26,10 +26,10 @@
 		Hint: exchange.Hint{Upstream: "u1", Position: upstream.Position{Term: 3, Offset: 18}, Primary: true,
 			DataAge: time.Second, ExpectedWait: time.Millisecond, Queued: 4},
 	}
-	o := &owner{run: func(_ context.Context, b upstream.Batch, sink upstream.Sink) (exchange.Done, error) {
+	o := &fakeOwner{run: func(_ context.Context, b upstream.Batch, sink upstream.Sink) (exchange.Done, error) {
 		return done, errors.Join(sink([]byte("one")), sink([]byte("two")))
 	}}
-	address := serve(t, o).address
+	address := startServer(t, o).address
 	open := exchange.Open{Upstream: "u1", Class: "c", ConfigVersion: 5, MinPosition: upstream.Position{Term: 2, Offset: 9}, Caller: "app", EntryHost: "p1"}
 	batch := upstream.Batch{
 		Mode: upstream.ModeWrite, Payload: []byte("payload"), RequestID: "r1", Shape: 77,
@@ -50,43 +50,43 @@
 	assert.DeepEqual(t, o.batches[0], batch)
 }
 
-func TestErrorsKeepTheirMeaningAcrossTheWire(t *testing.T) {
+func TestTypedErrorsCrossTheWire(t *testing.T) {
 	for name, want := range map[string]error{
 		"not run":   &fault.NotRun{Reason: fault.ReasonStale, Detail: "behind", RetryAfter: 20 * time.Millisecond},
 		"unknown":   &fault.OutcomeUnknown{Reason: fault.ReasonSilentConnection, Detail: "silent"},
 		"committed": &fault.AlreadyCommitted{RequestID: "r1"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := &owner{run: func(context.Context, upstream.Batch, upstream.Sink) (exchange.Done, error) {
+			o := &fakeOwner{run: func(context.Context, upstream.Batch, upstream.Sink) (exchange.Done, error) {
 				return exchange.Done{}, want
 			}}
-			_, _, err := ask(t.Context(), newClient(t), serve(t, o).address, "x")
+			_, _, err := runBatch(t.Context(), newClient(t), startServer(t, o).address, "x")
 			assert.DeepEqual(t, err, want)
 		})
 	}
 }
 
-func TestErrorWithoutMeaningIsUnknownOutcome(t *testing.T) {
-	o := &owner{run: func(context.Context, upstream.Batch, upstream.Sink) (exchange.Done, error) {
+func TestUntypedErrorIsUnknownOutcome(t *testing.T) {
+	o := &fakeOwner{run: func(context.Context, upstream.Batch, upstream.Sink) (exchange.Done, error) {
 		return exchange.Done{}, errors.New("some failure")
 	}}
-	_, _, err := ask(t.Context(), newClient(t), serve(t, o).address, "x")
+	_, _, err := runBatch(t.Context(), newClient(t), startServer(t, o).address, "x")
 	var unknown *fault.OutcomeUnknown
 	assert.Assert(t, errors.As(err, &unknown))
 }
 
 func TestRefusedOpenRunsNothingAndLeavesTheStreamUsable(t *testing.T) {
-	o := &owner{run: echo, openErr: &fault.NotRun{Reason: fault.ReasonNotOwner, Detail: "another host"}}
-	address := serve(t, o).address
+	o := &fakeOwner{run: echo, openErr: &fault.NotRun{Reason: fault.ReasonNotOwner, Detail: "another host"}}
+	address := startServer(t, o).address
 	client := newClient(t)
-	_, _, err := ask(t.Context(), client, address, "x")
+	_, _, err := runBatch(t.Context(), client, address, "x")
 	assert.DeepEqual(t, err, o.openErr)
 	batches, _, _ := o.counts()
 	assert.Equal(t, batches, 0)
 	o.mu.Lock()
 	o.openErr = nil
 	o.mu.Unlock()
-	answer, _, err := ask(t.Context(), client, address, "y")
+	answer, _, err := runBatch(t.Context(), client, address, "y")
 	assert.NilError(t, err)
 	assert.Equal(t, answer, "y")
 }
@@ -96,15 +96,17 @@
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	listener.Close()
-	_, _, err = ask(t.Context(), newClient(t), address, "x")
+	_, _, err = runBatch(t.Context(), newClient(t), address, "x")
 	var notRun *fault.NotRun
 	assert.Assert(t, errors.As(err, &notRun), "%v", err)
 	assert.Equal(t, notRun.Reason, fault.ReasonUpstreamUnavailable)
 }
 
-func TestLinkThatDiesMidAnswerIsNeverAShortResult(t *testing.T) {
-	var s *served
-	o := &owner{run: func(ctx context.Context, _ upstream.Batch, sink upstream.Sink) (exchange.Done, error) {
+// Guards against a partial answer that is taken for a complete one because the
+// connection broke in the middle of it.
+func TestConnectionLossMidAnswerIsUnknownOutcome(t *testing.T) {
+	var s *testServer
+	o := &fakeOwner{run: func(ctx context.Context, _ upstream.Batch, sink upstream.Sink) (exchange.Done, error) {
 		if err := sink([]byte("half")); err != nil {
 			return exchange.Done{}, err
 		}
@@ -112,23 +114,25 @@
 		<-ctx.Done()
 		return exchange.Done{}, ctx.Err()
 	}}
-	s = serve(t, o)
-	_, _, err := ask(t.Context(), newClient(t), s.address, "x")
+	s = startServer(t, o)
+	_, _, err := runBatch(t.Context(), newClient(t), s.address, "x")
 	var unknown *fault.OutcomeUnknown
 	assert.Assert(t, errors.As(err, &unknown), "%v", err)
 }
 
-func TestIdleStreamOfADeadOwnerGivesNoAnswer(t *testing.T) {
-	o := &owner{run: echo}
-	s := serve(t, o)
+// Guards against an answer from an idle stream whose owner has gone.
+func TestIdleStreamOfStoppedOwnerGivesNoAnswer(t *testing.T) {
+	o := &fakeOwner{run: echo}
+	s := startServer(t, o)
 	client := newClient(t)
-	_, _, err := ask(t.Context(), client, s.address, "x")
+	_, _, err := runBatch(t.Context(), client, s.address, "x")
 	assert.NilError(t, err)
 	s.http.Close()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		// Until the client has noticed the end of the connection, it cannot
-		// know whether the batch arrived. A success would be a false answer.
-		_, _, err := ask(t.Context(), client, s.address, "y")
+		// Until the client has noticed the end of the connection, it can't
+		// know whether the batch arrived, so an unknown outcome is right too. A
+		// success would be a false answer.
+		_, _, err := runBatch(t.Context(), client, s.address, "y")
 		assert.Assert(t, err != nil)
 		var notRun *fault.NotRun
 		if errors.As(err, &notRun) {
@@ -142,23 +146,25 @@
 	assert.Equal(t, batches, 1)
 }
 
+// Guards against an answer that reaches the wrong caller: the stream of a
+// cancelled exchange must not be reused, because its answer may still arrive.
 func TestLateAnswerNeverReachesTheNextExchange(t *testing.T) {
 	release := make(chan struct{})
-	o := &owner{}
+	o := &fakeOwner{}
 	o.run = func(ctx context.Context, b upstream.Batch, sink upstream.Sink) (exchange.Done, error) {
 		if string(b.Payload) == "slow" {
 			<-release
 		}
 		return echo(ctx, b, sink)
 	}
-	address := serve(t, o).address
+	address := startServer(t, o).address
 	client := newClient(t)
-	_, _, err := ask(t.Context(), client, address, "warm")
+	_, _, err := runBatch(t.Context(), client, address, "warm")
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(t.Context())
 	var group conc.WaitGroup
 	group.Go(func() {
-		_, _, err := ask(ctx, client, address, "slow")
+		_, _, err := runBatch(ctx, client, address, "slow")
 		assert.Check(t, err != nil)
 	})
 	waitForBatches(t, o, 2)
@@ -167,13 +173,13 @@
 	close(release)
 	for i := range 50 {
 		want := strconv.Itoa(i)
-		answer, _, err := ask(t.Context(), client, address, want)
+		answer, _, err := runBatch(t.Context(), client, address, want)
 		assert.NilError(t, err)
 		assert.Equal(t, answer, want)
 	}
 }
 
-func waitForBatches(t testing.TB, o *owner, n int) {
+func waitForBatches(t testing.TB, o *fakeOwner, n int) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if batches, _, _ := o.counts(); batches >= n {
@@ -184,14 +190,14 @@
 }
 
 func TestAnswersAreNeverMixedUnderConcurrency(t *testing.T) {
-	address := serve(t, &owner{run: echo}).address
+	address := startServer(t, &fakeOwner{run: echo}).address
 	client := newClient(t)
 	var group conc.WaitGroup
 	for i := range 16 {
 		group.Go(func() {
 			for j := range 50 {
 				want := strconv.Itoa(i*1000 + j)
-				answer, _, err := ask(t.Context(), client, address, want)
+				answer, _, err := runBatch(t.Context(), client, address, want)
 				assert.Check(t, err)
 				assert.Check(t, answer == want, "%q for %q", answer, want)
 			}
@@ -202,12 +208,12 @@
 
 func TestCancelReachesTheRunningBatchOnly(t *testing.T) {
 	release := make(chan struct{})
-	o := &owner{}
+	o := &fakeOwner{}
 	o.run = func(ctx context.Context, b upstream.Batch, sink upstream.Sink) (exchange.Done, error) {
 		<-release
 		return echo(ctx, b, sink)
 	}
-	address := serve(t, o).address
+	address := startServer(t, o).address
 	s, err := newClient(t).OpenAt(t.Context(), address, exchange.Open{})
 	assert.NilError(t, err)
 	assert.NilError(t, s.Cancel(t.Context()))
@@ -231,16 +237,16 @@
 	assert.Equal(t, cancels, 1)
 }
 
-func TestLeavingCallerEndsTheBatchAndRollsBack(t *testing.T) {
-	o := &owner{run: func(ctx context.Context, _ upstream.Batch, _ upstream.Sink) (exchange.Done, error) {
+func TestCancelledCallerEndsTheBatchAndRollsBack(t *testing.T) {
+	o := &fakeOwner{run: func(ctx context.Context, _ upstream.Batch, _ upstream.Sink) (exchange.Done, error) {
 		<-ctx.Done()
 		return exchange.Done{}, &fault.OutcomeUnknown{Reason: fault.ReasonCancelled}
 	}}
-	address := serve(t, o).address
+	address := startServer(t, o).address
 	ctx, cancel := context.WithCancel(t.Context())
 	var group conc.WaitGroup
 	group.Go(func() {
-		_, _, err := ask(ctx, newClient(t), address, "x")
+		_, _, err := runBatch(ctx, newClient(t), address, "x")
 		var unknown *fault.OutcomeUnknown
 		assert.Check(t, errors.As(err, &unknown), "%v", err)
 		assert.Check(t, unknown.Reason == fault.ReasonCancelled)
@@ -251,7 +257,7 @@
 	waitForClosed(t, o, 1)
 }
 
-func waitForClosed(t testing.TB, o *owner, n int) {
+func waitForClosed(t testing.TB, o *fakeOwner, n int) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if _, closed, _ := o.counts(); closed >= n {
@@ -262,10 +268,10 @@
 }
 
 func TestTransactionStaysOnOneExchangeAndRollsBackOnClose(t *testing.T) {
-	o := &owner{run: func(context.Context, upstream.Batch, upstream.Sink) (exchange.Done, error) {
+	o := &fakeOwner{run: func(context.Context, upstream.Batch, upstream.Sink) (exchange.Done, error) {
 		return exchange.Done{State: upstream.StateOpen}, nil
 	}}
-	address := serve(t, o).address
+	address := startServer(t, o).address
 	s, err := newClient(t).OpenAt(t.Context(), address, exchange.Open{})
 	assert.NilError(t, err)
 	for range 3 {
@@ -280,32 +286,34 @@
 }
 
 func TestDrainEndsIdleStreamsAndLosesNoExchange(t *testing.T) {
-	o := &owner{run: echo}
-	s := serve(t, o)
+	o := &fakeOwner{run: echo}
+	s := startServer(t, o)
 	client := newClient(t)
-	_, _, err := ask(t.Context(), client, s.address, "x")
+	_, _, err := runBatch(t.Context(), client, s.address, "x")
 	assert.NilError(t, err)
 	s.server.Drain()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	assert.NilError(t, s.http.Shutdown(ctx))
-	_, _, err = ask(t.Context(), client, s.address, "y")
+	_, _, err = runBatch(t.Context(), client, s.address, "y")
 	var notRun *fault.NotRun
 	assert.Assert(t, errors.As(err, &notRun), "%v", err)
 	batches, _, _ := o.counts()
 	assert.Equal(t, batches, 1)
 }
 
-func TestRequestThatMeetsDrainIsNeverUnknown(t *testing.T) {
+// Guards against unknown outcomes during an orderly shutdown: a request that
+// arrives while the owner drains either runs or is refused as not run.
+func TestRequestDuringDrainIsNeverUnknown(t *testing.T) {
 	for range 20 {
-		o := &owner{run: echo}
-		s := serve(t, o)
+		o := &fakeOwner{run: echo}
+		s := startServer(t, o)
 		client := newClient(t)
 		var group conc.WaitGroup
 		for range 8 {
 			group.Go(func() {
 				for {
-					_, _, err := ask(t.Context(), client, s.address, "x")
+					_, _, err := runBatch(t.Context(), client, s.address, "x")
 					var unknown *fault.OutcomeUnknown
 					assert.Check(t, !errors.As(err, &unknown), "%v: %v", err, errors.Unwrap(err))
 					if err != nil {
@@ -322,11 +330,11 @@
 }
 
 func BenchmarkExchange(b *testing.B) {
-	address := serve(b, &owner{run: echo}).address
+	address := startServer(b, &fakeOwner{run: echo}).address
 	client := newClient(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, _, err := ask(b.Context(), client, address, "select 1"); err != nil {
+		if _, _, err := runBatch(b.Context(), client, address, "select 1"); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/exchange/fake_test.go
+++ b/exchange/fake_test.go
@@ -13,12 +13,12 @@
 	"lovageslip/upstream"
 )
 
-// run is the behaviour of a fake owner for one batch.
-type run func(ctx context.Context, batch upstream.Batch, sink upstream.Sink) (exchange.Done, error)
+// runFunc answers one batch in place of a real owner.
+type runFunc func(ctx context.Context, batch upstream.Batch, sink upstream.Sink) (exchange.Done, error)
 
-// owner is a fake Handler that counts what it runs.
-type owner struct {
-	run     run
+// fakeOwner is a Handler that records exchanges, batches and cancels.
+type fakeOwner struct {
+	run     runFunc
 	openErr error
 
 	mu      sync.Mutex
@@ -28,7 +28,7 @@
 	cancels int              // guarded by mu
 }
 
-func (o *owner) Open(_ context.Context, open exchange.Open) (exchange.Stream, error) {
+func (o *fakeOwner) Open(_ context.Context, open exchange.Open) (exchange.Stream, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.opened = append(o.opened, open)
@@ -38,13 +38,13 @@
 	return &stream{owner: o}, nil
 }
 
-func (o *owner) counts() (batches, closed, cancels int) {
+func (o *fakeOwner) counts() (batches, closed, cancels int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.batches), o.closed, o.cancels
 }
 
-type stream struct{ owner *owner }
+type stream struct{ owner *fakeOwner }
 
 func (s *stream) Run(ctx context.Context, batch upstream.Batch, sink upstream.Sink) (exchange.Done, error) {
 	s.owner.mu.Lock()
@@ -75,18 +75,18 @@
 	return exchange.Done{State: upstream.StateIdle}, nil
 }
 
-// served is a fake owner behind HTTP/2.
-type served struct {
+// testServer serves a fakeOwner over HTTP/2.
+type testServer struct {
 	address string
 	http    *http.Server
 	server  *exchange.Server
 }
 
-func serve(t testing.TB, o *owner) *served {
+func startServer(t testing.TB, o *fakeOwner) *testServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s := &served{address: listener.Addr().String(), server: exchange.NewDrainableServer(o)}
+	s := &testServer{address: listener.Addr().String(), server: exchange.NewDrainableServer(o)}
 	mux := http.NewServeMux()
 	mux.Handle(s.server.Handler())
 	s.http = &http.Server{Handler: mux}
@@ -102,8 +102,8 @@
 	return client
 }
 
-// ask runs one batch on a new exchange and returns the answer.
-func ask(ctx context.Context, gateway exchange.Gateway, address, payload string) (string, exchange.Done, error) {
+// runBatch runs one batch on a new exchange and returns its answer.
+func runBatch(ctx context.Context, gateway exchange.Gateway, address, payload string) (string, exchange.Done, error) {
 	s, err := gateway.OpenAt(ctx, address, exchange.Open{Upstream: "u1", Class: "current"})
 	if err != nil {
 		return "", exchange.Done{}, err
--- a/exchange/link.go
+++ b/exchange/link.go
@@ -24,28 +24,28 @@
 
 type runStream = connect.BidiStreamForClient[lovageslipv1.RunRequest, lovageslipv1.RunResponse]
 
-// peer is one owner process.
+// peer is one owner process with the idle links to it.
 type peer struct {
-	service lovageslipv1connect.ExchangeServiceClient
-	used    time.Time // guarded by Client.mu
+	service  lovageslipv1connect.ExchangeServiceClient
+	lastUsed time.Time // guarded by Client.mu
 
 	mu   sync.Mutex
 	idle []*link // guarded by mu, the last used one last
 }
 
-// open returns a link on which Open has been sent.
+// open returns an idle or a new link, on which it has sent Open.
 func (p *peer) open(ctx context.Context, open *lovageslipv1.RunRequest) (*link, error) {
-	if link := p.get(); link != nil {
+	if link := p.acquireIdle(); link != nil {
 		if err := link.sendOpen(ctx, open); err == nil {
 			return link, nil
 		}
-		// An idle stream may have ended with its connection. Opening again
-		// is harmless: no batch was sent on it.
+		// An idle stream may have ended with its connection. Opening again on
+		// another one is safe, because no batch was sent.
 		link.close()
 	}
 	link := p.dial()
 	if err := link.sendOpen(ctx, open); err != nil {
-		detail := link.reason(err)
+		detail := link.streamError(err)
 		link.close()
 		return nil, &fault.NotRun{Reason: fault.ReasonUpstreamUnavailable, Detail: "owner not reached: " + detail}
 	}
@@ -53,12 +53,13 @@
 }
 
 func (p *peer) dial() *link {
-	// The stream outlives the request that opens it, so its context is its own.
+	// The stream outlives the request that opens it, so it must not use the
+	// request's context.
 	ctx, cancel := context.WithCancel(context.Background())
 	return &link{stream: p.service.Run(ctx), cancelCtx: cancel}
 }
 
-func (p *peer) get() *link {
+func (p *peer) acquireIdle() *link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle) == 0 {
@@ -71,14 +72,14 @@
 	return link
 }
 
-func (p *peer) put(link *link) {
+func (p *peer) release(link *link) {
 	link.idleSince = now()
-	if !p.keep(link) {
+	if !p.addIdle(link) {
 		link.close()
 	}
 }
 
-func (p *peer) keep(link *link) bool {
+func (p *peer) addIdle(link *link) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle) >= maxIdleLinks {
@@ -88,18 +89,18 @@
 	return true
 }
 
-// expire ends the links that have been idle since a time and returns how many
-// are left.
-func (p *peer) expire(since time.Time) int {
+// expire closes the links that were last used before cutoff, and returns how
+// many are left.
+func (p *peer) expire(cutoff time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	// The links are in the order of their last use.
-	old := 0
-	for old < len(p.idle) && p.idle[old].idleSince.Before(since) {
-		p.idle[old].close()
-		old++
+	expired := 0
+	for expired < len(p.idle) && p.idle[expired].idleSince.Before(cutoff) {
+		p.idle[expired].close()
+		expired++
 	}
-	p.idle = slices.Delete(p.idle, 0, old)
+	p.idle = slices.Delete(p.idle, 0, expired)
 	return len(p.idle)
 }
 
@@ -113,7 +114,8 @@
 	}
 }
 
-// link is one stream to an owner. One exchange uses it at a time.
+// link is one HTTP/2 stream to an owner. It carries many exchanges, one after
+// another.
 type link struct {
 	stream    *runStream
 	cancelCtx context.CancelFunc
@@ -122,21 +124,21 @@
 
 	mu        sync.Mutex
 	running   bool // guarded by mu: a batch is outstanding
-	cancelled bool // guarded by mu: Cancel was sent; its effect may come late
+	cancelled bool // guarded by mu: Cancel was sent and may take effect late
 }
 
 func (l *link) sendOpen(ctx context.Context, open *lovageslipv1.RunRequest) error {
-	release := context.AfterFunc(ctx, l.close)
+	stop := context.AfterFunc(ctx, l.close)
 	err := l.stream.Send(open)
-	if !release() && err == nil {
+	if !stop() && err == nil {
 		return ctx.Err()
 	}
 	return err
 }
 
-// reason returns the error behind a failed Send, which reports only the end
-// of the stream.
-func (l *link) reason(err error) string {
+// streamError returns the text of the error that ended the stream. A failed
+// Send itself reports only that the stream has ended.
+func (l *link) streamError(err error) string {
 	if _, received := l.stream.Receive(); received != nil {
 		return received.Error()
 	}
@@ -145,8 +147,8 @@
 
 func (l *link) run(batch upstream.Batch, sink upstream.Sink) (Done, error) {
 	if err := l.send(batch); err != nil {
-		// The request body ended before the whole batch was taken from it,
-		// so the owner cannot have decoded and run the batch.
+		// The transport stopped reading the request body before the end of
+		// the batch, so the owner can't have decoded and run the batch.
 		l.broken = true
 		return Done{}, &fault.NotRun{Reason: fault.ReasonUpstreamUnavailable, Detail: "stream to owner ended before the batch was sent"}
 	}
@@ -177,61 +179,63 @@
 	return nil
 }
 
-// receive passes chunks on until the answer is complete or refused.
+// receive passes the chunks of an answer to sink until the answer is complete or
+// the batch is refused.
 func (l *link) receive(sink upstream.Sink) (Done, error) {
 	for {
 		response, err := l.stream.Receive()
-		if err != nil && unprocessed(err) {
+		if err != nil && neverStarted(err) {
 			l.broken = true
 			return Done{}, &fault.NotRun{Reason: fault.ReasonShutdown, Detail: "owner did not take the stream"}
 		}
 		if err != nil {
-			return Done{}, l.breakOff("stream to owner broke", err)
+			return Done{}, l.markBroken("stream to owner broke", err)
 		}
 		switch m := response.GetMessage().(type) {
 		case *lovageslipv1.RunResponse_Chunk:
 			if err := sink(m.Chunk.GetPayload()); err != nil {
-				return Done{}, l.breakOff("caller did not take the answer", err)
+				return Done{}, l.markBroken("caller did not take the answer", err)
 			}
 		case *lovageslipv1.RunResponse_Done:
 			return doneFromWire(m.Done), nil
 		case *lovageslipv1.RunResponse_Refused:
-			// An owner that drains ends the stream with this message, so a
-			// later batch on it would get no answer at all.
+			// An owner that drains ends the stream with this message. A later
+			// batch on the stream would get no answer.
 			l.broken = m.Refused.GetReason() == lovageslipv1.Reason_REASON_SHUTDOWN
 			return Done{}, refusalFromWire(m.Refused)
 		default:
-			return Done{}, l.breakOff("owner sent an unknown message", nil)
+			return Done{}, l.markBroken("owner sent an unknown message", nil)
 		}
 	}
 }
 
-// goAwayText is net/http's error for a stream whose number lies beyond the last
-// one that a closing server says it will process. net/http exports no error to
-// compare with.
+// goAwayText is part of net/http's error for a stream whose id is higher than
+// the last one that a closing server will process. net/http exports no error
+// value to compare with.
 const goAwayText = "http2: Transport received Server's graceful shutdown GOAWAY"
 
-// unprocessed reports whether the server has said that it never started the
+// neverStarted reports whether the server has said that it never started the
 // stream's handler, so that nothing sent on the stream can have run.
-func unprocessed(err error) bool { return strings.Contains(err.Error(), goAwayText) }
+func neverStarted(err error) bool { return strings.Contains(err.Error(), goAwayText) }
 
-// breakOff marks the link as unusable. The batch was sent, so it may have run.
-func (l *link) breakOff(detail string, err error) error {
+// markBroken marks the link as unusable and returns an unknown outcome: the
+// batch was sent, so it may have run.
+func (l *link) markBroken(detail string, err error) error {
 	l.broken = true
 	return &fault.OutcomeUnknown{Reason: fault.ReasonOutcomeUnknown, Detail: detail, Err: err}
 }
 
-// reusable reports whether nothing of this exchange can still arrive on the
-// link or at the owner, so that another exchange may use it.
+// reusable reports whether another exchange may use the link. It must not if an
+// answer or a Cancel of this exchange may still be on its way.
 func (l *link) reusable() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.broken && !l.cancelled
 }
 
-// close ends the stream; the owner then rolls back what is open on it. It may
-// be called at any time. The transport notices the cancelled context only once
-// it no longer waits for the request body, so the body is closed too.
+// close ends the stream; the owner then rolls back an open transaction on it. It
+// may be called at any time. It closes the request body too, because the
+// transport doesn't notice a cancelled context while it waits for the body.
 func (l *link) close() {
 	l.cancelCtx()
 	_ = l.stream.CloseRequest() // the stream has ended either way
--- a/exchange/refusal.go
+++ b/exchange/refusal.go
@@ -7,13 +7,14 @@
 	lovageslipv1 "lovageslip/gen/lovageslip/v1"
 )
 
-// refusalToWire maps an error of a Handler or Stream. An error that does not
-// say whether the batch ran is sent as an unknown outcome.
+// refusalToWire returns the message that carries an error of a Handler or
+// Stream to the client. An error that does not say whether the batch ran is sent
+// as an unknown outcome.
 func refusalToWire(err error) *lovageslipv1.RunResponse {
-	return &lovageslipv1.RunResponse{Message: &lovageslipv1.RunResponse_Refused{Refused: refusal(err)}}
+	return &lovageslipv1.RunResponse{Message: &lovageslipv1.RunResponse_Refused{Refused: refusedFromError(err)}}
 }
 
-func refusal(err error) *lovageslipv1.Refused {
+func refusedFromError(err error) *lovageslipv1.Refused {
 	var notRun *fault.NotRun
 	if errors.As(err, &notRun) {
 		return &lovageslipv1.Refused{
@@ -57,9 +58,9 @@
 	}
 }
 
-func reasonFromWire(reason lovageslipv1.Reason, otherwise fault.Reason) fault.Reason {
-	if known, ok := reasons[reason]; ok {
-		return known
+func reasonFromWire(reason lovageslipv1.Reason, fallback fault.Reason) fault.Reason {
+	if mapped, ok := faultReasons[reason]; ok {
+		return mapped
 	}
-	return otherwise
+	return fallback
 }
--- a/exchange/server.go
+++ b/exchange/server.go
@@ -12,18 +12,18 @@
 	"lovageslip/gen/lovageslip/v1/lovageslipv1connect"
 )
 
-// pendingRequests is how many messages of a stream wait while a batch runs. A
-// client sends at most Open and Batch ahead; Cancel never waits here.
-const pendingRequests = 2
+// maxPendingRequests is how many messages of a stream may wait while a batch
+// runs. A client sends at most Open and Batch ahead; Cancel never waits here.
+const maxPendingRequests = 2
 
 type serverStream = connect.BidiStream[lovageslipv1.RunRequest, lovageslipv1.RunResponse]
 
-// Server adapts a Handler to ExchangeService. One stream carries any number
-// of exchanges, one after another.
+// Server serves ExchangeService, the wire protocol of exchanges, with a
+// Handler. One stream carries any number of exchanges, one after another.
 type Server struct {
-	handler Handler
-	stop    chan struct{}
-	stopped sync.Once
+	handler  Handler
+	stop     chan struct{}
+	stopOnce sync.Once
 }
 
 // NewServer returns the path and the HTTP handler of ExchangeService.
@@ -43,15 +43,15 @@
 
 // Drain ends every stream as soon as no exchange is open on it. Idle streams
 // would otherwise keep http.Server.Shutdown waiting. It returns at once.
-func (s *Server) Drain() { s.stopped.Do(func() { close(s.stop) }) }
+func (s *Server) Drain() { s.stopOnce.Do(func() { close(s.stop) }) }
 
 // Run serves one stream.
 func (s *Server) Run(ctx context.Context, stream *serverStream) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	run := &serverRun{server: s, stream: stream, requests: make(chan *lovageslipv1.RunRequest, pendingRequests)}
-	// The receiver ends when the client closes the stream or when this
-	// handler returns, which closes the request body.
+	run := &serverRun{server: s, stream: stream, requests: make(chan *lovageslipv1.RunRequest, maxPendingRequests)}
+	// The goroutine ends when the client closes the stream, or when this method
+	// returns, because that closes the request body.
 	go run.receive(ctx, cancel)
 	defer run.closeExchange()
 	return run.loop(ctx)
@@ -64,13 +64,13 @@
 	requests  chan *lovageslipv1.RunRequest
 	requestID string
 
-	mu      sync.Mutex
-	current Stream // guarded by mu: the open exchange, nil between exchanges
+	mu       sync.Mutex
+	exchange Stream // guarded by mu: the open exchange, nil between exchanges
 }
 
 func (r *serverRun) receive(ctx context.Context, cancel context.CancelFunc) {
-	// The end of the request side is the caller leaving, so a running batch
-	// is cancelled.
+	// The client ends the request side when its caller has left or the link is
+	// closed, so a running batch is cancelled.
 	defer cancel()
 	for {
 		request, err := r.stream.Receive()
@@ -78,7 +78,7 @@
 			return
 		}
 		if request.GetCancel() != nil {
-			r.cancelCurrent(ctx)
+			r.cancelExchange(ctx)
 			continue
 		}
 		select {
@@ -89,19 +89,20 @@
 	}
 }
 
-func (r *serverRun) cancelCurrent(ctx context.Context) {
+func (r *serverRun) cancelExchange(ctx context.Context) {
 	r.mu.Lock()
-	current := r.current
+	exchange := r.exchange
 	r.mu.Unlock()
-	if current != nil {
-		// The caller learns the result of the cancel from the answer.
-		_ = current.Cancel(ctx)
+	if exchange != nil {
+		// The error is dropped: the answer of the batch shows the caller
+		// whether the cancel took effect.
+		_ = exchange.Cancel(ctx)
 	}
 }
 
 func (r *serverRun) loop(ctx context.Context) error {
 	for {
-		request, err := r.next(ctx)
+		request, err := r.nextRequest(ctx)
 		if err != nil {
 			return r.stream.Send(refusalToWire(err))
 		}
@@ -114,11 +115,11 @@
 	}
 }
 
-// next returns the next request; nil at the end of the stream; an error that
-// the client must see before the stream ends.
-func (r *serverRun) next(ctx context.Context) (*lovageslipv1.RunRequest, error) {
+// nextRequest returns the next request, or nil at the end of the stream. An
+// error must be sent to the client before the stream ends.
+func (r *serverRun) nextRequest(ctx context.Context) (*lovageslipv1.RunRequest, error) {
 	stop := r.server.stop
-	if r.current != nil {
+	if r.exchange != nil {
 		stop = nil
 	}
 	select {
@@ -127,8 +128,8 @@
 	case <-ctx.Done():
 		return nil, nil
 	case <-stop:
-		// A request that crosses this message is never taken from the
-		// stream, so it has not run.
+		// A request that the client sends at the same moment is not read from
+		// the stream any more, so it has not run.
 		return nil, &fault.NotRun{Reason: fault.ReasonShutdown, Detail: "owner is shutting down"}
 	}
 }
@@ -137,10 +138,10 @@
 	if open := request.GetOpen(); open != nil {
 		return r.open(ctx, open)
 	}
-	if batch := request.GetBatch(); batch != nil && r.current != nil {
+	if batch := request.GetBatch(); batch != nil && r.exchange != nil {
 		return r.run(ctx, batch)
 	}
-	// A batch without an exchange follows an Open that was refused.
+	// A batch without an exchange follows a refused Open; it is ignored.
 	return nil
 }
 
@@ -151,7 +152,7 @@
 		return r.stream.Send(refusalToWire(notRun(err)))
 	}
 	r.requestID = open.GetRequestId()
-	r.setCurrent(exchange)
+	r.setExchange(exchange)
 	return nil
 }
 
@@ -166,7 +167,7 @@
 func (r *serverRun) run(ctx context.Context, wire *lovageslipv1.Batch) error {
 	batch := batchFromWire(wire, r.requestID)
 	r.requestID = ""
-	done, err := r.current.Run(ctx, batch, r.sendChunk)
+	done, err := r.exchange.Run(ctx, batch, r.sendChunk)
 	if err != nil {
 		r.closeExchange()
 		return r.stream.Send(refusalToWire(err))
@@ -182,17 +183,17 @@
 	return r.stream.Send(&lovageslipv1.RunResponse{Message: &lovageslipv1.RunResponse_Chunk{Chunk: chunk}})
 }
 
-func (r *serverRun) setCurrent(exchange Stream) {
+func (r *serverRun) setExchange(exchange Stream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.current = exchange
+	r.exchange = exchange
 }
 
 func (r *serverRun) closeExchange() {
-	if r.current == nil {
+	if r.exchange == nil {
 		return
 	}
-	// Closing rolls back; the owner logs what goes wrong there.
-	_ = r.current.Close()
-	r.setCurrent(nil)
+	// Close rolls back an open transaction. The owner logs its errors.
+	_ = r.exchange.Close()
+	r.setExchange(nil)
 }
--- a/exchange/transport.go
+++ b/exchange/transport.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	// pingAfter and pingTimeout bound how long a connection that delivers
-	// nothing is trusted.
+	// pingAfter is how long a connection may deliver nothing before it is
+	// checked with a ping, and pingTimeout how long the answer may take before
+	// the connection is closed.
 	pingAfter   = 2 * time.Second
 	pingTimeout = 2 * time.Second
 	// maxStreams is how many exchanges one entry proxy may have open with one
-	// owner. The owner's queue limits come into force well below it.
+	// owner. The limits of the owner's queues are reached well below it.
 	maxStreams = 100_000
-	// dialTimeout bounds the connecting to an owner that does not answer.
+	// dialTimeout bounds the time to connect to an owner.
 	dialTimeout = 2 * time.Second
 	// streamWindow and connectionWindow bound the answer bytes in flight. All
-	// exchanges with an owner share a connection, so callers that read slowly
-	// must not use its window up: it holds 64 full streams.
+	// exchanges with an owner share a connection, so slow callers must not use
+	// up its window, which would block all others: it holds 64 full streams.
 	streamWindow     = 64 << 10
 	connectionWindow = 4<<20 - 1
 )
--- a/exchange/wire.go
+++ b/exchange/wire.go
@@ -8,8 +8,8 @@
 	"lovageslip/upstream"
 )
 
-// reasons maps wire reasons to fault reasons. Both directions use it.
-var reasons = map[lovageslipv1.Reason]fault.Reason{
+// faultReasons maps wire reasons to fault reasons. wireReasons is its inverse.
+var faultReasons = map[lovageslipv1.Reason]fault.Reason{
 	lovageslipv1.Reason_REASON_NOT_OWNER:            fault.ReasonNotOwner,
 	lovageslipv1.Reason_REASON_LEASE_LAPSED:         fault.ReasonLeaseLapsed,
 	lovageslipv1.Reason_REASON_CONFIG_BEHIND:        fault.ReasonConfigBehind,
@@ -31,7 +31,7 @@
 	lovageslipv1.Reason_REASON_RETRY_BUDGET:         fault.ReasonRetryBudget,
 }
 
-var wireReasons = invert(reasons)
+var wireReasons = invert(faultReasons)
 
 func invert(m map[lovageslipv1.Reason]fault.Reason) map[fault.Reason]lovageslipv1.Reason {
 	inverse := make(map[fault.Reason]lovageslipv1.Reason, len(m))
