--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,6 +1,8 @@
-// Package admission is the queue in front of one upstream. It hands out the
-// upstream's slots, learns how long work of each kind takes, and refuses at
-// once what it cannot start in time.
+// Package admission implements admission control for one upstream. The owner
+// of the upstream acquires a slot from the Queue for every batch. The queue
+// limits how many batches run at a time, estimates service times from the
+// batches that have run, and refuses a request at once if the predicted start
+// lies beyond its wait.
 package admission
 
 import (
@@ -19,7 +21,8 @@
 	"lovageslip/metrics"
 )
 
-// Default bounds of a queue.
+// Default limits on the requests that wait in a queue, for one class and for
+// one caller.
 const (
 	DefaultClassEntries  = 16384
 	DefaultClassBytes    = 64 << 20
@@ -27,7 +30,8 @@
 	DefaultCallerBytes   = 16 << 20
 )
 
-// Bounds limit what may wait in a queue.
+// Bounds limits the requests that may wait in a queue: their number and their
+// bytes, for each class and for each caller. Requests beyond are refused.
 type Bounds struct {
 	ClassEntries  int
 	ClassBytes    int
@@ -35,50 +39,53 @@
 	CallerBytes   int
 }
 
-// Options configure a Queue.
+// Options configures the Queue of one upstream. Log and Metrics are optional.
 type Options struct {
 	Log     *slog.Logger
 	Metrics tally.Scope
-	// Slots is how many statements may run at a time; at least 1.
+	// Slots is how many requests may run at a time; less than 1 means 1.
 	Slots int
-	// Policy orders the waiting work; nil means Shortest.
+	// Policy decides the order of the waiting requests; nil means Shortest.
 	Policy Policy
-	// Bounds with zero fields take the defaults.
+	// Bounds limits what may wait; zero fields take the defaults.
 	Bounds Bounds
 
 	clock clock
 }
 
-// clock lets the benchmark run the queue in virtual time.
+// clock is the time source of a queue. Tests replace it to run the queue in
+// virtual time.
 type clock interface {
 	Now() time.Time
-	// Arm asks for a call of Queue.tick at the given time.
+	// Arm schedules a call of Queue.tick at the given time.
 	Arm(at time.Time)
 }
 
-// Request describes work that asks for a slot.
+// Request describes a batch that needs a slot.
 type Request struct {
 	Class  string
 	Caller string
-	// Shape is a hash of the statement texts.
+	// Shape is a hash of the statement texts. Requests of the same class and
+	// shape are expected to take the same time.
 	Shape uint64
 	Bytes int
-	// Waited and WaitRemaining are the time spent and the time left until
-	// the work must start.
+	// Waited is how long the request has waited already, WaitRemaining how
+	// long it may still wait until it must start.
 	Waited        time.Duration
 	WaitRemaining time.Duration
-	// Continuation marks a batch of an open transaction. It goes before
-	// new work and is never refused because of its wait.
+	// Continuation marks a batch of an open transaction. It starts before
+	// new requests and is never refused because of its wait.
 	Continuation bool
-	// Preemptible says that the work can be stopped and run again while
-	// Slot.Keep has not been called.
+	// Preemptible is true if the request can be stopped and run again until
+	// Slot.Keep is called.
 	Preemptible bool
-	// Long marks work that was stopped because it ran long. It is never
-	// refused because of its wait, because it started within it.
+	// Long marks a request that was preempted because it ran long. It is
+	// never refused because of its wait, since its first run started in time.
 	Long bool
 }
 
-// Queue is the queue of one upstream. It is safe for concurrent use.
+// Queue limits how many requests run on one upstream and holds those that wait.
+// It is safe for concurrent use.
 type Queue struct {
 	log     *slog.Logger
 	metrics tally.Scope
@@ -95,12 +102,13 @@
 	waiting       int
 }
 
+// usage counts the waiting requests of one class or caller.
 type usage struct {
 	entries int
 	bytes   int
 }
 
-// New returns a queue.
+// New returns an empty queue.
 func New(o Options) *Queue {
 	if o.Policy == nil {
 		o.Policy = NewShortest()
@@ -136,7 +144,7 @@
 	}
 }
 
-// Acquire waits for a slot.
+// Acquire waits for a slot. The caller must release the slot.
 // Errors: *fault.NotRun with ReasonWaitExceeded, ReasonQueueFull or
 // ReasonCancelled.
 func (q *Queue) Acquire(ctx context.Context, req Request) (*Slot, error) {
@@ -165,7 +173,8 @@
 	return timer.C, timer.Stop
 }
 
-// enqueue adds w, or refuses it at once.
+// enqueue adds w to the queue, or returns an error if the queue is full or w
+// cannot start in time.
 func (q *Queue) enqueue(w *waiter) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -183,8 +192,8 @@
 	return nil
 }
 
-// late returns the predicted start of w and whether it lies beyond what w may
-// wait.
+// predictStart returns how long w is predicted to wait for a slot and whether
+// that is longer than w may wait.
 func (q *Queue) late(w *waiter, now time.Time) (start time.Duration, late bool) {
 	if w.Continuation || w.Long {
 		return 0, false
@@ -203,15 +212,17 @@
 	maxRetryAfter = 5 * time.Second
 )
 
-// retryAfter is drawn from one to two times the time that the queue needs, so
-// that refused callers do not all come back at the same moment.
+// retryAfter returns a random time between one and two times the drain time of
+// the queue, so that refused callers do not all retry at the same moment.
 func retryAfter(drain time.Duration) time.Duration {
 	base := min(max(drain, minRetryAfter), maxRetryAfter)
 	return base + rand.N(base)
 }
 
+// backlog returns the predicted wait of a request of unknown class and shape
+// that has to wait for all others of its length, short or long.
 func (q *Queue) backlog(now time.Time) time.Duration {
-	// With a deadline far away, everything that waits goes before the probe.
+	// With the longest wait that a class can have, the probe starts last.
 	probe := &waiter{arrived: now, deadline: now.Add(class.MaxWait)}
 	start, _ := q.policy.predict(&q.board, probe, now)
 	return start
@@ -258,8 +269,9 @@
 	return u.entries >= q.bounds.CallerEntries || u.bytes+w.Bytes > q.bounds.CallerBytes
 }
 
-// leave takes w out of the queue. A slot that was granted in the meantime is
-// used if w only ran out of time, and given back if its caller is gone.
+// abandon removes w, whose caller has gone or whose wait has ended, from the
+// queue and returns the refusal. If a slot was granted in the meantime, it is
+// returned after the end of a wait, and released if the caller has gone.
 func (q *Queue) leave(w *waiter, granted chan *Slot, reason fault.Reason) (*Slot, error) {
 	if !q.remove(w) {
 		s := <-granted
@@ -271,7 +283,7 @@
 	return nil, q.refuse(w, reason, "left the queue before a slot was free", q.ExpectedWait())
 }
 
-// remove reports whether w was still waiting.
+// remove removes w from the queue. It returns false if w has started already.
 func (q *Queue) remove(w *waiter) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -288,7 +300,8 @@
 	return true
 }
 
-// SetSlots changes the number of slots. Work that runs already is not stopped.
+// SetSlots changes the number of slots; less than 1 means 1. Running requests
+// are not stopped if there are fewer slots than before.
 func (q *Queue) SetSlots(n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -296,15 +309,16 @@
 	q.dispatch(q.clock.Now())
 }
 
-// ExpectedWait is the predicted wait of a typical new request.
+// ExpectedWait returns the predicted wait of a new request of unknown class and
+// shape.
 func (q *Queue) ExpectedWait() time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.backlog(q.clock.Now())
 }
 
-// Pace is the mean time between two starts while work waits, and how many
-// slots there are.
+// Pace returns the mean time between the starts of two requests while others
+// wait, and the number of slots.
 func (q *Queue) Pace() (interval time.Duration, slots int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -312,37 +326,40 @@
 	return seconds(all.mean / float64(max(q.board.slots, 1))), q.board.slots
 }
 
-// Queued is how many requests wait.
+// Queued returns the number of waiting requests.
 func (q *Queue) Queued() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.waiting
 }
 
-// Running is how many slots are held.
+// Running returns the number of slots in use.
 func (q *Queue) Running() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.board.running)
 }
 
-// Patience is how long work of a kind may stay without a sign of life before
-// it is taken for lost, judged by what has run on the upstream.
+// Patience returns the inactivity timeout of running requests of a class and
+// shape: how long nothing may be received from the upstream until the request
+// is considered lost. It is derived from the service times seen so far.
 func (q *Queue) Patience(class string, shape uint64) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.board.learned.patience(kind{class: class, shape: shape}, q.clock.Now())
 }
 
-// Lost takes note that work was taken for lost after elapsed. The next work
-// gets more time, in case the verdict was wrong.
+// Lost records that a request was considered lost after elapsed without any
+// sign of activity. It raises the inactivity timeouts, in case the request was
+// only slow.
 func (q *Queue) Lost(elapsed time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.board.learned.sawLong(elapsed.Seconds(), q.clock.Now())
 }
 
-// tick continues after the time that was armed.
+// tick is called by the clock at the time passed to Arm. It starts requests
+// and preempts running ones that are due.
 func (q *Queue) tick() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -23,7 +23,8 @@
 	return s
 }
 
-// teach runs short and long work until the queue can tell them apart.
+// trainEstimates runs short and long requests until the queue can tell them
+// apart.
 func teach(t *testing.T, q *Queue, short, long uint64) {
 	t.Helper()
 	for range 40 {
@@ -61,7 +62,8 @@
 	assert.Equal(t, notRun.Reason, reason)
 }
 
-// Guards against long work in all slots, also when no short work is there.
+// Guards against long requests in all slots, also while no short one waits: the
+// next short request would have to wait for a long one.
 func TestStragglerNeverTakesLastSlot(t *testing.T) {
 	for _, slots := range []int{2, 3, 5} {
 		q := New(Options{Slots: slots})
@@ -78,13 +80,14 @@
 		acquire(t, q, request(1)).Release(time.Millisecond)
 		assert.Equal(t, q.Running(), slots-1)
 		held[0].Release(time.Second)
-		// The open transaction goes first.
+		// The batch of an open transaction starts before the new request.
 		(<-alsoWaiting).Release(time.Second)
 		(<-waiting).Release(time.Second)
 	}
 }
 
-// Guards against work that was expected to be short and keeps all slots.
+// Guards against requests that were expected to be short, run long and keep all
+// slots while a short one waits.
 func TestUnannouncedStragglerGivesUpSlot(t *testing.T) {
 	q := New(Options{Slots: 2})
 	teach(t, q, 1, 2)
@@ -98,12 +101,13 @@
 	case <-second.Yield():
 		second.Release(NotMeasured)
 	case <-time.After(20 * time.Second):
-		t.Fatal("no straggler was stopped")
+		t.Fatal("no straggler was preempted within 20 s")
 	}
 	(<-short).Release(time.Millisecond)
 }
 
-// Guards against stopping work whose answer has begun.
+// Guards against preempting a request after a part of its answer was sent: it
+// could not be run again.
 func TestKeptWorkIsNotStopped(t *testing.T) {
 	q := New(Options{Slots: 2})
 	teach(t, q, 1, 2)
@@ -116,14 +120,14 @@
 	assert.Assert(t, !second.Keep())
 	select {
 	case <-first.Yield():
-		t.Fatal("work was stopped after its answer had begun")
+		t.Fatal("a request was preempted after its answer had begun")
 	default:
 	}
 	second.Release(NotMeasured)
 	(<-short).Release(time.Millisecond)
 }
 
-// Guards against entries of callers that are gone.
+// Guards against requests that stay in the queue after their caller has gone.
 func TestCancelledRequestLeavesQueue(t *testing.T) {
 	for _, policy := range []Policy{NewFIFO(), NewShortest()} {
 		q := New(Options{Slots: 1, Policy: policy})
@@ -139,8 +143,8 @@
 	}
 }
 
-// Guards against waiting in vain: what cannot start in time is told at once
-// when to come back, and not all at the same moment.
+// Guards against requests that wait although they cannot start in time. They are
+// refused at once, with times to retry after that differ.
 func TestHopelessWaitRefusedAtOnce(t *testing.T) {
 	q := New(Options{Slots: 1})
 	for range 20 {
@@ -163,8 +167,8 @@
 	assert.Assert(t, len(times) > 1)
 }
 
-// Guards against hints that show an idle upstream while a queue stands, which
-// would draw more work to it.
+// Guards against an expected wait that ignores the waiting requests: proxies
+// would send more requests to an overloaded upstream.
 func TestExpectedWaitCountsTheQueue(t *testing.T) {
 	q := New(Options{Slots: 1})
 	for range 20 {
@@ -181,8 +185,8 @@
 	assert.Assert(t, q.ExpectedWait() > 4*time.Second, "%v", q.ExpectedWait())
 }
 
-// Guards against unbounded memory, and against one caller taking the whole
-// queue.
+// Guards against a queue whose memory is unbounded, and against one caller that
+// fills the whole queue.
 func TestQueueBounds(t *testing.T) {
 	bounds := Bounds{ClassEntries: 3, CallerEntries: 2, ClassBytes: 100, CallerBytes: 50}
 	q := New(Options{Slots: 1, Bounds: bounds})
@@ -212,7 +216,8 @@
 	waitQueued(t, q, 4)
 }
 
-// Guards against a change of the slots that only new queues see.
+// Guards against a change of the number of slots that has no effect on a queue
+// with running and waiting requests.
 func TestSlotsChangeAtRunTime(t *testing.T) {
 	q := New(Options{Slots: 1})
 	first := acquire(t, q, request(1))
@@ -230,7 +235,7 @@
 }
 
 // Guards against memory that grows with the number of statement texts, and
-// against service times that are never forgotten.
+// against old service times that keep their weight.
 func TestLearnedTimesAreBoundedAndForgotten(t *testing.T) {
 	l := newLearner()
 	now := time.Unix(1000, 0)
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -13,16 +13,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// The benchmark drives a Queue in virtual time. An upstream is modelled by its
-// slots alone: work runs exactly as long as drawn once it has a slot.
+// The benchmarks of this file run a Queue in virtual time. The simulated upstream
+// has no limit but its slots: a request with a slot runs exactly for the service
+// time that was drawn for it.
 
 const (
-	unit        = 5 * time.Millisecond // mean service time of short work
+	unit        = 5 * time.Millisecond // mean
 	stragglers  = 0.01
-	slowness    = 100
+	slowness    = 100 // service time of a straggler, in short ones
 	cancelDelay = time.Millisecond
 )
 
+// task is one simulated request.
 type task struct {
 	short          bool
 	arrive         time.Time
@@ -53,7 +55,7 @@
 	return last
 }
 
-// simulation is a clock and an event loop.
+// simulation is an event loop in virtual time, and the clock of its queue.
 type simulation struct {
 	now    time.Time
 	seq    int
@@ -88,7 +90,8 @@
 	}
 }
 
-// stopVictims plays the owner, which cancels what the queue wants stopped.
+// stopVictims cancels the requests that the queue has preempted, as the owner
+// does.
 func (s *simulation) stopVictims() {
 	for slot, stop := range s.live {
 		if slot.preempted {
@@ -141,17 +144,19 @@
 	})
 }
 
-// load is what arrives.
+// workload describes the requests that arrive in one run.
 type load struct {
 	slots   int
 	seconds int
-	// rho is the share of the capacity that is asked for.
+	// rho returns the utilisation: the offered load as a share of the
+	// capacity of the slots. More than 1 is an overload.
 	rho func(second float64) float64
-	// straggler share, and whether their shape tells them apart.
+	// stragglerShare is the share of stragglers. With ownShape their shape
+	// differs from that of short requests.
 	share  float64
 	marked bool
 	wait   time.Duration
-	fixed  bool // every service time is the same
+	fixed  bool // all short requests take the same time
 }
 
 func (l load) simulate(p Policy, seed uint64) *simulation {
@@ -198,10 +203,11 @@
 	return d[min(int(q*float64(len(d))), len(d)-1)]
 }
 
-// waits are the figures of one run without its start.
+// waitStats are the figures of one run, without its warm-up.
 type waits struct {
-	p99 float64 // ms, of short work
-	// slowdown of stragglers: time from arrival to end over service time.
+	p99 float64 // ms, wait of short requests
+	// slowdown is the mean and slowdown95 the 95th percentile of the time from
+	// arrival to end of stragglers, divided by their service time.
 	slowdown, slowdown95 float64
 	refused              float64
 }
@@ -241,8 +247,9 @@
 	{"shortest", func() Policy { return NewShortest() }},
 }
 
-// Prints the figures of docs/notes/admission.md: the wait of short work behind
-// stragglers, and the stragglers' own slowdown.
+// Prints the figures of docs/notes/admission.md: the waits of short requests
+// behind stragglers, and the slowdown of the stragglers. Guards against a policy
+// under which short requests wait longer than under FIFO.
 func TestStragglerBenchmark(t *testing.T) {
 	for _, slots := range []int{3, 5} {
 		for _, marked := range []bool{true, false} {
@@ -270,7 +277,9 @@
 	assert.Assert(t, p99[1] < p99[0])
 }
 
-// Prints the figures for a peak of ten times the usual load.
+// Prints the figures for a peak of ten times the usual load. Guards against waits
+// that stay long after the peak, and against slots that run requests in vain,
+// because their wait has already ended.
 func TestPeakBenchmark(t *testing.T) {
 	for _, slots := range []int{3, 5} {
 		for _, share := range []float64{0, stragglers} {
@@ -308,10 +317,10 @@
 	}
 }
 
-// peak returns the service time of short work that arrived in the peak and was
-// answered within its wait, as a share of what the slots can do in that time,
-// and when waits were normal again: from then on, no tenth of a second has a
-// median wait above ten times the service time of short work.
+// peak returns the share of the slots' capacity during the peak that went to short
+// requests which arrived in the peak and were answered within their wait. It also
+// returns the recovery time in seconds after the peak: from then on, no tenth of
+// a second has a median wait above ten times the service time of short requests.
 func (s *simulation) peak(l load) (share, recovery float64) {
 	start := s.tasks[0].arrive
 	windows := map[int][]float64{}
--- a/admission/learn.go
+++ b/admission/learn.go
@@ -7,17 +7,20 @@
 )
 
 const (
+	// serviceTimeHalfLife is the time after which the weight of an observed
+	// service time has halved.
 	halfLife = 10 * time.Second
-	// maxShapes bounds the memory of one queue.
+	// maxShapes bounds the memory that the estimates of one queue use.
 	maxShapes = 4096
-	// forgotten is the weight below which an estimate no longer counts.
+	// minWeight is the weight below which an estimate is too old to be used.
 	forgotten = 0.01
-	// priorWeight is the weight of the next wider estimate, so that one
-	// sample of a new shape does not decide alone.
+	// priorWeight is the weight of the prior, in samples. It keeps the first
+	// sample of a new shape from determining the estimate alone.
 	priorWeight = 1.0
 )
 
-// kind is the key of learned service times.
+// kind is the class and shape of requests that are expected to take the same
+// time.
 type kind struct {
 	class string
 	shape uint64
@@ -25,12 +28,12 @@
 
 func (w *waiter) key() kind { return kind{class: w.Class, shape: w.Shape} }
 
-// estimate is a decaying average of service times.
+// estimate is an average of service times, weighted by an exponential decay.
 type estimate struct {
 	weight float64
 	sum    float64 // seconds
-	capped float64 // seconds, each sample at most the cap at its time
-	logSum float64 // logarithm of seconds
+	capped float64 // seconds; each sample was limited when it was added
+	logSum float64 // natural logarithms of seconds
 	at     time.Time
 }
 
@@ -55,20 +58,22 @@
 	e.logSum += math.Log(seconds)
 }
 
-// service is what is known of the service time of one kind of work, in
-// seconds.
+// serviceTime is the expected service time of one kind of request, in seconds.
+// It is zero if nothing has been observed.
 type service struct {
-	// mean predicts how much work waits.
+	// mean is the arithmetic mean. It predicts the work that a queue holds.
 	mean float64
-	// capped is the mean without the part of stragglers that runs in the
-	// slots for long work.
+	// capped is the mean of service times limited to longFactor times the
+	// median. Beyond it a request counts as long and occupies one of the
+	// slots for long requests.
 	capped float64
-	// typical is the geometric mean. One straggler among many short runs
-	// hardly moves it, so that it tells short kinds from long kinds.
+	// typical is the geometric mean. A few stragglers hardly change it, so it
+	// tells short kinds from long kinds.
 	typical float64
 }
 
-// of returns the mean that a queue of short or of long work moves by.
+// meanFor returns the mean time that a request occupies a slot for long or for
+// short requests.
 func (s service) of(long bool) float64 {
 	if long {
 		return s.mean
@@ -76,7 +81,8 @@
 	return s.capped
 }
 
-// refine narrows a wider estimate by e.
+// withPrior returns the expected service time from e and from the prior of a
+// wider group of requests. A zero prior has no weight.
 func (e *estimate) refine(wider service, now time.Time) service {
 	if e == nil {
 		return wider
@@ -96,16 +102,18 @@
 	}
 }
 
-// learner holds the service times of one upstream.
+// estimator estimates service times of one upstream, by shape, by class and
+// overall.
 type learner struct {
 	all     estimate
 	median  histogram
 	classes map[string]*estimate
 	shapes  map[kind]*list.Element
-	// longest is the longest service time, decaying.
+	// longest is the longest service time in seconds, decayed until longestAt.
 	longest   float64
 	longestAt time.Time
-	// recent orders the shapes by last use, the latest first.
+	// recent orders the shapes by last use, the latest first; the shape used
+	// least recently is evicted at maxShapes.
 	recent list.List
 }
 
@@ -118,6 +126,8 @@
 	return &learner{classes: map[string]*estimate{}, shapes: map[kind]*list.Element{}}
 }
 
+// minSeconds is the shortest service time that is recorded; logarithms need a
+// time above zero.
 const minSeconds = 1e-6
 
 func (l *learner) observe(k kind, elapsed time.Duration, now time.Time) {
@@ -156,8 +166,8 @@
 	return &s.estimate
 }
 
-// expect returns what is known of k, from the shape, the class and the whole
-// upstream. It is zero if nothing has run yet.
+// expectedTime returns the expected service time of k. The upstream's average
+// is the prior of the class, and the class is the prior of the shape.
 func (l *learner) expect(k kind, now time.Time) service {
 	known := l.all.refine(service{}, now)
 	known = l.classes[k.class].refine(known, now)
@@ -169,8 +179,9 @@
 
 const (
 	longestHalfLife = 5 * time.Minute
-	// Work is taken for lost only after several times the longest time seen
-	// on the upstream, and after many times the usual time of its shape.
+	// A request without any sign of activity is considered lost after
+	// longestTimeFactor times the longest service time on the upstream, and
+	// not before typicalTimeFactor times the typical one of its shape.
 	lostAfterLongest = 4
 	lostAfterTypical = 200
 	minPatience      = 3 * time.Second
@@ -206,7 +217,8 @@
 	histogramInterval = 20 * time.Millisecond
 )
 
-// histogram is a decaying histogram with logarithmic buckets from minSeconds.
+// histogram counts service times in logarithmic buckets from minSeconds, with
+// an exponential decay. It keeps their median.
 type histogram struct {
 	weights [histogramBuckets]float64
 	total   float64
@@ -224,7 +236,8 @@
 	}
 }
 
-// decay also recomputes the median, at most once per interval.
+// decay applies the decay and recomputes the median, at most once in every
+// histogramInterval.
 func (h *histogram) decay(now time.Time) {
 	dt := now.Sub(h.at)
 	if dt < histogramInterval {
@@ -250,7 +263,7 @@
 	return 0
 }
 
-// seconds returns the median, zero if nothing is known.
+// medianSeconds returns the median; zero if nothing was added yet.
 func (h *histogram) seconds(now time.Time) float64 {
 	h.decay(now)
 	return h.value
@@ -258,7 +271,8 @@
 
 const rateHalfLife = 2 * time.Second
 
-// rate is a decaying amount per second.
+// rate measures an amount per second over the last seconds, with an exponential
+// decay.
 type rate struct {
 	amount float64
 	at     time.Time
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -6,27 +6,29 @@
 	"time"
 )
 
-// Policy decides the order of the waiting work. A Policy belongs to one Queue
-// and is called with the queue's lock held.
+// Policy decides which waiting request starts next and which running one is
+// preempted. A Policy belongs to one Queue, which calls it with its lock held.
 type Policy interface {
 	push(b *board, w *waiter, now time.Time)
 	remove(w *waiter)
-	// next removes and returns the work to start in a free slot; nil if
+	// next removes and returns the request to start in a free slot; nil if
 	// none may start.
 	next(b *board, now time.Time) *waiter
-	// allows reports whether w, which goes before new work, may start.
+	// mayStart reports whether w, a batch of an open transaction, may start.
 	allows(b *board, w *waiter, now time.Time) bool
-	// predict returns when w would start if it were pushed now, and how
-	// long it may wait.
+	// predict returns how long w would wait for its start if it were pushed
+	// now, and how long it may wait.
 	predict(b *board, w *waiter, now time.Time) (start, limit time.Duration)
-	// observe takes note of work that has finished.
+	// observe records the service time of a request that has finished.
 	observe(b *board, s *Slot, elapsed time.Duration, now time.Time)
-	// victim returns the running work to stop, or nil, and when to ask
-	// again, or zero. It is called only while all slots are held.
+	// victim returns the running request to preempt, or nil, and the time at
+	// which to call it again; zero means at the next change of the queue. It
+	// is called only while all slots are in use.
 	victim(b *board, now time.Time) (*Slot, time.Time)
 }
 
-// board is what a policy knows of its upstream.
+// upstreamState is what a policy knows about its upstream: its slots, the
+// requests that run in them and the service times.
 type board struct {
 	slots   int
 	running []*Slot
@@ -40,13 +42,13 @@
 	}
 }
 
-// FIFO serves in order of arrival and refuses nothing but what expires. It is
-// the baseline that other policies are compared with.
+// FIFO starts requests in the order of their arrival and refuses only those
+// whose wait ends. Benchmarks compare other policies with it.
 type FIFO struct {
 	waiting list.List
 }
 
-// NewFIFO returns the baseline policy.
+// NewFIFO returns a policy without waiting requests.
 func NewFIFO() *FIFO { return &FIFO{} }
 
 func (f *FIFO) push(_ *board, w *waiter, _ time.Time) { w.element = f.waiting.PushBack(w) }
--- a/admission/shortest.go
+++ b/admission/shortest.go
@@ -8,62 +8,70 @@
 
 const (
 	// longFactor times the median service time is the limit between short
-	// and long work.
+	// and long requests.
 	longFactor = 4
-	// stopFactor times the median is when work that was expected to be short
-	// may be stopped. One in 64 of exponentially distributed service times
-	// is longer.
+	// stopFactor times the median is the running time after which a request
+	// that was expected to be short may be preempted. One in 64 of
+	// exponentially distributed service times is longer.
 	stopFactor = 6
-	// minStop keeps stops rarer than their cost, which is a cancel request
-	// and a new connection.
+	// minStopAfter is the shortest running time before a preemption. A
+	// preemption costs a cancel request and a new connection, so it must be
+	// rare.
 	minStop = 20 * time.Millisecond
-	// stopGain is how long stopped work must be expected to run, in
-	// multiples of the time at which it is stopped.
+	// minOverrunFactor times stopAfter is the mean service time of requests
+	// that ran past stopAfter from which preemptions pay.
 	stopGain = 3
-	// patience is how long long work waits, as a share of its own service
-	// time, before it may take a slot that the short work seems to need.
+	// longWaitFactor times its own expected service time is how long a long
+	// request waits before it may take a slot that short requests are likely
+	// to need.
 	patience = 1
-	// safety is how many standard deviations of the predicted start are left
-	// free, if service times spread as much as their mean.
+	// safetyDeviations is the margin between the predicted start and the
+	// deadline, in standard deviations of the prediction. The standard
+	// deviation of a service time is assumed to equal its mean.
 	safety = 3
-	// urgent is the share of its wait after which long work goes before
-	// short work, within the limits for long work.
+	// urgentShare is the share of its wait after which a long request goes
+	// before short ones, within the limit on slots for long requests.
 	urgent = 0.75
-	// stopAge bounds how long work may have run, in multiples of the limit
-	// for long work, to be stopped while short work still has a slot. Later,
-	// stopping it wastes more than it gains.
+	// stopAgeFactor times stopAfter is the running time up to which a request
+	// may be preempted while short requests still have a slot. Later, the
+	// work lost by stopping it is more than the gain.
 	stopAge = 3
-	// standingAfter is how long a queue must have lasted to be an overload
-	// and not a burst. A queue that stands longer only delays: it is then
-	// kept to standingShare of the class's wait, so that waits are normal
-	// soon after the overload ends.
+	// standingAfter is how long requests must have waited without a break
+	// for the queue to be a standing queue, caused by overload, instead of a
+	// burst. A standing queue delays every request and gains nothing, so the
+	// predicted wait is then limited to standingShare of the class's wait, and
+	// to no less than minStanding. Waits are thus normal soon after the
+	// overload ends.
 	standingAfter = 500 * time.Millisecond
 	standingShare = 1.0 / 8
 	minStanding   = 250 * time.Millisecond
 )
 
-// Shortest serves short work before long work, and work of one length by the
-// wait that is left. It keeps long work from taking all slots.
+// Shortest is the policy of queues that serve callers. It starts requests that
+// are expected to be short before long ones, and prefers those with less wait
+// left. It limits the slots for long requests, so that short ones do not wait
+// behind them.
 type Shortest struct {
 	buckets map[bucketKey]*bucket
-	// busySince is when work began to wait without a break.
+	// busySince is the start of the current period in which requests have
+	// waited without a break.
 	busySince time.Time
-	// shortLoad is the slots' time that short work has used.
+	// shortLoad is the slot time that short requests have used; its rate per
+	// second is the number of slots that they occupy.
 	shortLoad rate
-	// overrun is the service time of work that ran past the limit for a
-	// stop.
+	// overrun is the service time of requests that ran past stopAfter.
 	overrun estimate
-	// waited and predicted are the waits of short work, as they were and as
-	// they were predicted. Their ratio corrects predictions for what the
-	// service times don't show, such as the time to hand over a slot.
+	// actualWait and predictedWait add up the actual and the predicted waits
+	// of short requests. Their ratio corrects predictions for delays that
+	// service times don't include, such as the time to hand over a slot.
 	waited, predicted rate
 }
 
-// NewShortest returns the policy in use.
+// NewShortest returns a policy without waiting requests.
 func NewShortest() *Shortest { return &Shortest{buckets: map[bucketKey]*bucket{}} }
 
-// bucketKey tells apart work that differs in its expected service time. long
-// marks work that has run long before.
+// bucketKey identifies requests with the same expected service time. preempted
+// marks those that were preempted because they ran long.
 type bucketKey struct {
 	kind kind
 	long bool
@@ -71,7 +79,7 @@
 
 func (w *waiter) bucketKey() bucketKey { return bucketKey{kind: w.key(), long: w.Long} }
 
-// bucket holds the waiting work of one kind, ordered by deadline.
+// bucket holds the waiting requests of one bucketKey, ordered by deadline.
 type bucket struct {
 	key     bucketKey
 	waiting list.List
@@ -93,8 +101,8 @@
 	w.element = bk.waiting.InsertAfter(w, at)
 }
 
-// before estimates how many of the bucket's entries have a deadline before t,
-// as if the deadlines were spread evenly.
+// countBefore estimates how many of the bucket's requests have a deadline before
+// t, assuming that the deadlines are evenly spread.
 func (bk *bucket) before(t time.Time) float64 {
 	n := float64(bk.waiting.Len())
 	first, last := bk.first().deadline, bk.last().deadline
@@ -128,7 +136,7 @@
 	}
 }
 
-// rank orders candidates; the lowest goes first.
+// rank is the priority of a request; the lowest rank starts first.
 type rank struct {
 	tier  int
 	value float64
@@ -141,9 +149,9 @@
 	return r.value < o.value
 }
 
-// rank puts urgent long work first, then short work, then other long work.
-// Within a tier the order is the expected service time less the credit for
-// waiting, which is complete when no wait is left.
+// rank returns the rank of w. Urgent long requests come first, then short ones,
+// then the other long ones. Within a tier the order is by the sum of the expected
+// service time and the wait that is left.
 func (p *Shortest) rank(w *waiter, typical float64, long bool, now time.Time) rank {
 	left := w.deadline.Sub(now).Seconds()
 	r := rank{tier: 1, value: typical + left}
@@ -157,8 +165,9 @@
 	return r
 }
 
-// expect returns the service time of a kind. Work that was stopped is unlike
-// the rest of its kind: it takes as long as other work that ran too long.
+// expectedTime returns the expected service time of k. Preempted requests take
+// longer than others of their class and shape, so for them it is at least the
+// mean of requests that ran past stopAfter.
 func (p *Shortest) expect(b *board, k bucketKey, now time.Time) service {
 	s := b.learned.expect(k.kind, now)
 	if !k.long {
@@ -168,7 +177,8 @@
 	return service{mean: max(s.mean, mean), capped: s.capped, typical: max(s.typical, mean)}
 }
 
-// overrunMean is zero if nothing has run past the limit for a stop lately.
+// overrunMean returns the mean service time in seconds of requests that ran past
+// stopAfter; zero if there were none lately.
 func (p *Shortest) overrunMean(now time.Time) float64 {
 	p.overrun.decay(now)
 	if p.overrun.weight < forgotten {
@@ -203,9 +213,10 @@
 	return best
 }
 
+// maxCorrection bounds the correction of predicted waits in both directions.
 const maxCorrection = 4
 
-// correction is the ratio of waits to predictions of the last seconds.
+// correction returns the ratio of actual to predicted waits of the last seconds.
 func (p *Shortest) correction(now time.Time) float64 {
 	predicted := p.predicted.perSecond(now)
 	if predicted == 0 {
@@ -214,9 +225,10 @@
 	return min(max(p.waited.perSecond(now)/predicted, 1/maxCorrection), maxCorrection)
 }
 
-// roomForLong reports whether long work may start. It keeps to the slots that
-// short work leaves until it has waited long for its size, and never takes
-// the last slot.
+// longMayStart reports whether w, which is expected to run long, may start. Long
+// requests get the slots that short ones leave free. Once w has waited
+// longWaitFactor times its typical service time, it may also take another slot,
+// but never the last one.
 func (p *Shortest) roomForLong(b *board, w *waiter, typical float64, now time.Time) bool {
 	running := b.runningLong(now)
 	if running < p.softLimit(b, now) {
@@ -225,13 +237,13 @@
 	return running < b.hardLimit() && now.Sub(w.arrived).Seconds() >= patience*typical
 }
 
-// hardLimit is how many slots long work may hold at most.
+// hardLimit returns how many slots long requests may use at most.
 func (b *board) hardLimit() int { return max(b.slots-1, 1) }
 
-// softLimit is how many slots long work may hold without delaying the short
-// work of the last seconds.
+// softLimit returns how many slots long requests may use without delaying short
+// ones, if short requests keep arriving as in the last seconds.
 func (p *Shortest) softLimit(b *board, now time.Time) int {
-	// A tenth of a slot more than planned is no reason to keep a whole one.
+	// A load of up to a tenth above a whole number does not reserve one more.
 	keep := int(math.Ceil(p.shortLoad.perSecond(now) - 0.1))
 	return min(max(b.slots-keep, 1), b.hardLimit())
 }
@@ -252,8 +264,9 @@
 	p.shortLoad.add(min(elapsed.Seconds(), b.longAfter(now)), now)
 }
 
-// predict works the slots of w's length through everything of that length
-// that has less wait left.
+// predict divides the expected work ahead of w by the slots for requests of its
+// length, short or long. Ahead of w are running requests of the same length and
+// waiting ones with an earlier deadline.
 func (p *Shortest) predict(b *board, w *waiter, now time.Time) (start, limit time.Duration) {
 	limit = p.limit(w, now)
 	if len(b.running) < b.slots && len(p.buckets) == 0 {
@@ -288,13 +301,14 @@
 	return min(limit, max(minStanding, time.Duration(standingShare*total)))
 }
 
-// seconds converts to a duration; the longest stands for more than fits.
+// toDuration converts seconds to a duration. Values that are too large, such as
+// infinity, become a very long duration.
 func seconds(s float64) time.Duration {
 	return time.Duration(min(s*float64(time.Second), math.MaxInt64/2))
 }
 
-// running returns the expected rest of the running work that holds slots for
-// work of the same length, and the number of such slots.
+// runningWork returns the expected remaining time in seconds of the running
+// requests that are long, or short, and the number of slots for such requests.
 func (p *Shortest) running(b *board, long bool, now time.Time) (rest float64, slots int) {
 	others := 0
 	for _, s := range b.running {
--- a/admission/slot.go
+++ b/admission/slot.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// NotMeasured is passed to Release when the time held says nothing about the
-// work, for example because no connection could be had.
+// NotMeasured is passed to Slot.Release if no service time was measured, for
+// example because no connection could be opened.
 const NotMeasured time.Duration = -1
 
 // waiter is a request in the queue.
@@ -16,40 +16,44 @@
 	arrived  time.Time
 	deadline time.Time
 	started  bool
-	// long is set when the work starts: whether it is expected to be long.
+	// expectedLong says whether the request is expected to run long. It is
+	// set when the request is considered for a start.
 	long bool
-	// predicted is the uncorrected prediction of the wait, in seconds.
+	// predicted is the predicted wait in seconds, before its correction by
+	// the waits of earlier requests.
 	predicted float64
 	element   *list.Element
-	// bucket is the list of a policy that holds the waiter.
+	// bucket is the bucket of the policy Shortest that holds the waiter.
 	bucket *bucket
-	// grant receives the slot; it is called with the queue's lock held and
-	// must not block.
+	// grant is called with the slot once the request may start. The queue's
+	// lock is held, so it must not block.
 	grant func(*Slot)
 }
 
-// Slot is the right to run one statement.
+// Slot is the permission to run one request on the upstream.
 type Slot struct {
 	queue *Queue
 	work  *waiter
 	once  sync.Once
 	yield chan struct{}
 
-	// Guarded by the queue's lock.
+	// The fields below are guarded by the queue's lock.
 	since     time.Time
 	keep      bool
 	preempted bool
-	// expectedLong says that the work was expected to be long, long that it
-	// counts as long now.
+	// expectedLong says whether the request was expected to run long when it
+	// started, long whether it counts as long now.
 	expectedLong bool
 	long         bool
 }
 
-// Yield is closed when the queue wants the work stopped and run again later.
+// Yield returns a channel that is closed when the queue preempts the request:
+// the holder has to stop it, release the slot and run it again later.
 func (s *Slot) Yield() <-chan struct{} { return s.yield }
 
-// Keep says that the work can no longer be run again, for example because its
-// answer has begun. It reports false if the queue has asked for the slot.
+// Keep excludes the request from preemption because it can no longer be run
+// again, for example because a part of its answer has been sent to the caller.
+// It returns false if the request has been preempted already.
 func (s *Slot) Keep() bool {
 	s.queue.mu.Lock()
 	defer s.queue.mu.Unlock()
@@ -57,8 +61,8 @@
 	return !s.preempted
 }
 
-// Release returns the slot. elapsed is how long the work ran on the upstream.
-// Calls after the first have no effect.
+// Release returns the slot to the queue. elapsed is the service time on the
+// upstream, or NotMeasured. Calls after the first have no effect.
 func (s *Slot) Release(elapsed time.Duration) {
 	s.once.Do(func() { s.queue.release(s, elapsed) })
 }
@@ -75,7 +79,8 @@
 	q.dispatch(now)
 }
 
-// dispatch starts what may start now.
+// dispatch starts waiting requests while slots are free, then preempts a
+// running one if the policy wants that.
 func (q *Queue) dispatch(now time.Time) {
 	for len(q.board.running) < q.board.slots {
 		w := q.take(now)
@@ -88,6 +93,8 @@
 	q.preempt(now)
 }
 
+// nextWaiter removes and returns the request to start next, batches of open
+// transactions first; nil if none may start.
 func (q *Queue) take(now time.Time) *waiter {
 	for e := q.continuations.Front(); e != nil; e = e.Next() {
 		w := e.Value.(*waiter)
@@ -106,8 +113,8 @@
 	w.grant(s)
 }
 
-// preempt asks for a slot back if the policy wants one, and arms the clock
-// for the next time that it might.
+// preempt asks the policy for a request to preempt if all slots are in use and
+// others wait. It arms the clock for the time at which to ask again.
 func (q *Queue) preempt(now time.Time) {
 	if len(q.board.running) < q.board.slots || q.waiting == 0 {
 		return
@@ -122,7 +129,7 @@
 	}
 }
 
-// wallClock is the clock of a queue that serves real requests.
+// wallClock is the clock of a queue outside of simulations.
 type wallClock struct {
 	mu    sync.Mutex // guards at
 	at    time.Time
--- a/admission/stop.go
+++ b/admission/stop.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// longAfter is the service time in seconds from which work counts as long.
+// longAfter returns the service time in seconds from which a request counts as
+// long; infinity before any has finished.
 func (b *board) longAfter(now time.Time) float64 {
 	median := b.learned.median.seconds(now)
 	if median == 0 {
@@ -14,7 +15,8 @@
 	return longFactor * median
 }
 
-// stopAfter is the service time in seconds from which work may be stopped.
+// stopAfter returns the running time in seconds after which a request may be
+// preempted; infinity before any has finished.
 func (b *board) stopAfter(now time.Time) float64 {
 	median := b.learned.median.seconds(now)
 	if median == 0 {
@@ -23,13 +25,14 @@
 	return max(stopFactor*median, minStop.Seconds())
 }
 
-// long reports whether work of a kind counts as long before it starts.
+// expectedLong reports whether waiting requests of k with the expected service
+// time s count as long.
 func (b *board) long(k bucketKey, s service, now time.Time) bool {
 	return k.long || s.typical > b.longAfter(now)
 }
 
-// isLong reports whether running work counts as long: by what was expected,
-// or because it has run long already.
+// isLong reports whether a running request counts as long, because it was
+// expected to be or because it has run for longAfter already.
 func (b *board) isLong(s *Slot, now time.Time) bool {
 	if !s.long {
 		s.long = now.Sub(s.since) >= seconds(b.longAfter(now))
@@ -47,10 +50,10 @@
 	return n
 }
 
-// victim stops work that was expected to be short and has run long, when long
-// work holds more slots than it should and short work waits. The work runs
-// again later as long work. It is stopped at most once, and the youngest goes
-// first, so that little is lost.
+// victim returns a request that was expected to be short and has run long, if
+// long requests use more slots than their limit and short ones wait. The request
+// runs again later as a long one. A request is preempted at most once, and the
+// one that started last first, so that little work is lost.
 func (p *Shortest) victim(b *board, now time.Time) (*Slot, time.Time) {
 	limit := b.stopAfter(now)
 	if math.IsInf(limit, 1) || !p.shortWaits(b, now) || !p.stopPays(limit, now) {
@@ -71,17 +74,17 @@
 	return nil, next
 }
 
-// stopPays reports whether work that has run for limit seconds can be
-// expected to go on for much longer. Otherwise a stop only wastes what has
-// been done.
+// stopPays reports whether a request that has run for limit seconds is expected
+// to run for much longer. Otherwise a preemption only wastes the work done.
 func (p *Shortest) stopPays(limit float64, now time.Time) bool {
 	mean := p.overrunMean(now)
 	return mean == 0 || mean >= stopGain*limit
 }
 
-// stoppable returns the youngest work that counts as long although it was
-// expected to be short, and when the next work will. There is none while
-// another stop is in progress.
+// stoppable returns the request that started last of those that count as long
+// although they were expected to be short, and the time at which the next
+// running request will count as long. It returns neither while another
+// preemption is in progress.
 func (p *Shortest) stoppable(b *board, now time.Time) (youngest *Slot, next time.Time) {
 	for _, s := range b.running {
 		if s.preempted {
@@ -100,6 +103,7 @@
 	return youngest, next
 }
 
+// earlier returns the earlier of two times; b if a is zero.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -13,7 +13,9 @@
 	"lovageslip/upstream"
 )
 
-// attempt is the way of one request through as many tries as it takes.
+// attempt runs one request outside of an open transaction: it chooses an upstream,
+// sends the batch to its owner and retries until the request is answered or no
+// retry is allowed.
 type attempt struct {
 	session   *Session
 	entry     *Entry
@@ -27,13 +29,14 @@
 
 	tries    int
 	excluded []string
-	// answering is true once the sink has taken a part of an answer.
+	// answerBegun is true once the sink has taken a part of an answer.
 	answering bool
-	// refusal is the last refusal by an owner.
+	// refusal is the last refusal by an owner; nil if there was none.
 	refusal error
 	// unknown is the last unknown outcome of a try; nil if there was none.
 	unknown error
-	// chosen and asked describe the last try.
+	// chosen is the router's choice for the last try, routed what the router
+	// was asked.
 	chosen route.Choice
 	asked  route.Request
 }
@@ -55,7 +58,8 @@
 
 func (a *attempt) run(ctx context.Context) (exchange.Done, error) {
 	for {
-		// The channel is taken before the view, so that no change is missed.
+		// The channel is read before the view, so that no change between the
+		// two is missed.
 		changed := a.entry.directory.Changed()
 		done, err := a.try(ctx)
 		if err == nil {
@@ -69,9 +73,10 @@
 	}
 }
 
-// cause returns the error for the caller. Once a try had an unknown outcome, a
-// later refusal does not prove that the request did not run. Otherwise an
-// owner's refusal says more than the fact that no upstream is left.
+// callerError returns the error for the caller, given the error of the last try.
+// Once a try had an unknown outcome, a later refusal does not prove that the
+// request did not run. Otherwise an owner's refusal is more specific than the
+// router's error that no upstream is left.
 func (a *attempt) cause(ctx context.Context, err error) error {
 	if a.unknown != nil && reasonOf(err) != fault.ReasonAlreadyCommitted {
 		return a.unknown
@@ -119,7 +124,8 @@
 	return err
 }
 
-// sleep waits for a replica to catch up with the session.
+// sleep waits for the delay after which the chosen replica is expected to include
+// the session's position.
 func (a *attempt) sleep(ctx context.Context, delay time.Duration) error {
 	if delay <= 0 {
 		return nil
@@ -146,8 +152,8 @@
 	}
 }
 
-// exchange runs the batch and keeps the exchange if it leaves a transaction
-// open.
+// exchange runs the batch. If it leaves a transaction open, the stream is pinned
+// to the session.
 func (a *attempt) exchange(ctx context.Context, stream exchange.Stream) (exchange.Done, error) {
 	name := a.chosen.Upstream.Name
 	a.session.setStream(stream)
@@ -172,13 +178,14 @@
 	return done, nil
 }
 
+// forward passes a part of the answer to the caller's sink.
 func (a *attempt) pass(chunk []byte) error {
 	a.answering = true
 	return a.sink(chunk)
 }
 
-// answered reports whether the caller has seen a part of an answer. Parts that
-// are still held for the caller are dropped.
+// callerHasAnswer reports whether the caller has received a part of an answer. It
+// first drops the parts that are still buffered, if Request.Restart can.
 func (a *attempt) answered() bool {
 	if a.answering && a.request.Restart != nil && a.request.Restart() {
 		a.answering = false
@@ -190,7 +197,8 @@
 	batch := batchOf(a.request, a.mode)
 	batch.RequestID = a.requestID
 	if a.mode == upstream.ModeRead {
-		// A read needs no ledger row; the server refuses writes in this mode.
+		// A read needs no row in the ledger of request ids, because the server
+		// refuses writes in read mode.
 		batch.RequestID = ""
 	}
 	batch.Waited = time.Since(a.started)
--- a/entry/budget.go
+++ b/entry/budget.go
@@ -6,18 +6,21 @@
 )
 
 const (
-	// successesPerRetry gives retries a share of 10 % of the successes.
+	// successesPerRetry limits retries to 10 % of the successful requests.
 	successesPerRetry = 10
-	// minRetries is what the budget holds at the start.
+	// minRetries is the number of retries in the budget at the start.
 	minRetries = 10
-	// maxRetries bounds the retries that a quiet time can save up.
+	// maxRetries bounds the retries that accumulate while few are needed.
 	maxRetries = 200
-	// budgetRefill is how often a budget without successes gains one retry,
-	// so that service can be found again after a complete outage.
+	// budgetRefill is the interval at which an empty budget gains one retry,
+	// so that requests are retried after a complete outage, when there are no
+	// successes.
 	budgetRefill = time.Second
 )
 
-// budget bounds retries to a share of successes. It is safe for concurrent use.
+// budget is the retry budget of an Entry. It limits retries to a share of the
+// successful requests, so that they cannot amplify an overload. It is safe for
+// concurrent use.
 type budget struct {
 	mu       sync.Mutex
 	credit   int       // guarded by mu, in successes
@@ -35,7 +38,7 @@
 	b.credit = min(b.credit+1, maxRetries*successesPerRetry)
 }
 
-// take uses one retry up and reports whether there was one.
+// takeRetry takes one retry from the budget. It returns false if there is none.
 func (b *budget) take(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,7 @@
-// Package entry is the request path of an entry proxy: it keeps a caller's
-// session, chooses an upstream for each request, sends the request to the
-// upstream's owner and decides on retries. Retries happen only here.
+// Package entry is the request path of a proxy that callers connect to. It keeps
+// a session for each caller, chooses an upstream for each request, sends the
+// request to the upstream's owner and decides on retries. Retries happen only here,
+// not in the layers below. The server for callers, pgcaller, calls it.
 package entry
 
 import (
@@ -34,7 +35,8 @@
 	Metrics    tally.Scope
 }
 
-// Entry opens sessions. It is safe for concurrent use.
+// Entry opens the sessions of callers and holds what they share: the router, the
+// retry budget and the texts known to write. It is safe for concurrent use.
 type Entry struct {
 	directory registry.Directory
 	gateway   exchange.Gateway
@@ -47,7 +49,7 @@
 	writes    learnedTexts
 }
 
-// New returns an entry.
+// New returns an Entry without sessions. Its retry budget starts with minRetries.
 func New(options Options) *Entry {
 	if options.Router == nil {
 		options.Router = route.New(route.Options{
@@ -82,15 +84,16 @@
 
 func (e *UnknownDatabase) Error() string { return "unknown database " + e.Database }
 
-// NoDefaultClass reports that no class with age 0 exists, so that a caller
-// has to name a class. Nothing ran.
+// NoDefaultClass reports that a caller named no class and that none with age 0
+// exists to be the default. Nothing ran.
 type NoDefaultClass struct{}
 
 func (*NoDefaultClass) Error() string {
 	return "no class named and no class with age 0 is defined; set lovageslip.class"
 }
 
-// Open starts a session on a database. caller names the caller for limits.
+// Open starts a session on a database. caller is the name under which the limits
+// for each caller count its requests.
 // Errors: *fault.NotRun, *UnknownDatabase.
 func (e *Entry) Open(database, caller string) (*Session, error) {
 	view, err := e.view()
@@ -111,7 +114,7 @@
 	return view, nil
 }
 
-// classOf returns a class by name; the default class for no name.
+// classOf returns the class with a name; the default class if name is empty.
 func classOf(view *registry.View, name string) (class.Class, error) {
 	if name == "" {
 		return defaultClass(view)
@@ -123,7 +126,7 @@
 	return c, nil
 }
 
-// defaultClass is the first class by name that has age 0.
+// defaultClass returns the first class, by name, that has age 0.
 func defaultClass(view *registry.View) (class.Class, error) {
 	found := false
 	var first class.Class
@@ -142,23 +145,24 @@
 	return first, nil
 }
 
-// Request is one batch of a caller.
+// Request is one batch of statements of a caller.
 type Request struct {
 	Payload  []byte
 	Prepared []upstream.Prepared
-	// Texts are the statements that the batch executes; none if it only
+	// Texts are the statements that the batch executes; empty if it only
 	// prepares or describes.
 	Texts []string
-	// Restart drops the answer bytes that the sink has taken and reports
-	// whether the caller has seen none of them. It may be nil.
+	// Restart discards the part of an answer that is still buffered for the
+	// caller. It returns false if the caller has received a part of it. It may
+	// be nil.
 	Restart func() bool
 }
 
 // Reply is the outcome of a batch that was answered completely.
 type Reply struct {
 	State upstream.TransactionState
-	// Token is the new session token after a commit, else empty.
+	// Token is the new session token after a commit; empty otherwise.
 	Token string
-	// DatabaseError is true if the answer holds an error of the database.
+	// DatabaseError is true if the answer contains an error of the database.
 	DatabaseError bool
 }
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -282,7 +282,8 @@
 	assert.Assert(t, time.Since(begun) < 2*time.Second)
 }
 
-// runAndCancel runs a write and cancels it once it is under way.
+// runAndCancel runs a write, cancels it once underWay returns true, and returns
+// the error of the write.
 func runAndCancel(t testing.TB, s *entry.Session, underWay func() bool) (err error) {
 	t.Helper()
 	var group conc.WaitGroup
@@ -291,7 +292,7 @@
 		if underWay() {
 			return poll.Success()
 		}
-		return poll.Continue("the batch is not under way")
+		return poll.Continue("the write has not started")
 	}, poll.WithDelay(time.Millisecond))
 	assert.NilError(t, s.Cancel(t.Context()))
 	group.Wait()
--- a/entry/fake_test.go
+++ b/entry/fake_test.go
@@ -19,7 +19,7 @@
 	"lovageslip/upstream"
 )
 
-// directory is a view that tests replace.
+// directory is a fake Directory with a view that tests replace.
 type directory struct {
 	mu      sync.Mutex
 	view    *registry.View // guarded by mu
@@ -66,7 +66,7 @@
 	}
 }
 
-// try is one batch that a fake owner got.
+// try is one batch that a fake owner received.
 type try struct {
 	upstream string
 	batch    upstream.Batch
@@ -74,10 +74,10 @@
 	stream   *stream
 }
 
-// answer is what a fake owner does with a try.
+// answer is the reaction of a fake owner to a try.
 type answer func(ctx context.Context, t try, sink upstream.Sink) (exchange.Done, error)
 
-// gateway is a fake Gateway to owners that all behave the same.
+// gateway is a fake Gateway. The owners of all upstreams give the same answer.
 type gateway struct {
 	answer answer
 
@@ -89,7 +89,7 @@
 	return &stream{gateway: g, open: open, closed: make(chan struct{}), cancelled: make(chan struct{})}, nil
 }
 
-// seen lists the upstreams that were tried, in order.
+// triedUpstreams returns the names of the upstreams that were tried, in order.
 func (g *gateway) seen() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// harness is an entry with fake surroundings.
+// harness is an Entry with a fake directory and gateway.
 type harness struct {
 	*entry.Entry
 	directory *directory
@@ -184,7 +184,7 @@
 	return exchange.Done{}, &fault.OutcomeUnknown{Reason: fault.ReasonOutcomeUnknown, Detail: "link died"}
 }
 
-// counter returns the value of a counter by name and reason.
+// counter returns the value of the counter with a name and a label reason.
 func (h *harness) counter(name string, reason fault.Reason) int64 {
 	var total int64
 	for _, c := range h.metrics.Snapshot().Counters() {
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -12,32 +12,34 @@
 )
 
 const (
-	// backoffBase and backoffCap bound the full-jitter backoff.
+	// backoffBase and backoffCap limit the exponential backoff with full
+	// jitter.
 	backoffBase = 10 * time.Millisecond
 	backoffCap  = 500 * time.Millisecond
-	// minRetryAfter and maxRetryAfter bound the hint of a refusal that has
-	// none of its own.
+	// minRetryAfter and maxRetryAfter bound the RetryAfter of refusals that
+	// came without one.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 )
 
-// remedy is what has to happen before a refused request is sent again.
+// retryAction is what to do before a refused request is sent again.
 type remedy int
 
 const (
 	giveUp remedy = iota
-	// elsewhere sends a read to another upstream at once, and a write again
-	// after a pause.
+	// retryElsewhere sends a read to another upstream at once. A write is
+	// sent again after the backoff or a change of the registry.
 	elsewhere
-	// elsewhereOnly sends a read to another upstream at once; a write is
-	// given up.
+	// retryReadElsewhere sends a read to another upstream at once. A write
+	// is not retried.
 	elsewhereOnly
-	// afterChange waits for the registry to change, or for the backoff.
+	// retryAfterChange sends the request again after the backoff or a change
+	// of the registry.
 	afterChange
 )
 
-// remedies lists the refusals after which a request is sent again. All of
-// them are NotRun, so the first try cannot have taken effect.
+// retryActions lists the refusals after which a request is sent again. They all
+// come as fault.NotRun, so the refused try had no effect.
 var remedies = map[fault.Reason]remedy{
 	fault.ReasonNotOwner:            afterChange,
 	fault.ReasonConfigBehind:        afterChange,
@@ -54,7 +56,8 @@
 	fault.ReasonWaitExceeded:        elsewhereOnly,
 }
 
-// again decides whether to try once more after err, and waits until then.
+// prepareRetry reports whether the request is to be tried again after err. It
+// returns when the next try may start.
 func (a *attempt) again(ctx context.Context, err error, changed <-chan struct{}) bool {
 	if ctx.Err() != nil {
 		return false
@@ -70,9 +73,12 @@
 	return false
 }
 
+// prepareRetryNotRun is prepareRetry after a refusal that proves that the request
+// did not run.
 func (a *attempt) againNotRun(ctx context.Context, refused *fault.NotRun, changed <-chan struct{}) bool {
 	if a.answered() {
-		// The caller has a part of an answer, so a second answer cannot follow.
+		// The caller has received a part of an answer; another answer must
+		// not follow it.
 		return false
 	}
 	if refused.Reason == fault.ReasonReadOnly {
@@ -88,8 +94,8 @@
 		return a.awaitUpstream(ctx, refused, changed)
 	}
 	a.refusal = refused
-	// Every branch below is reached only by NotRun: the owner or the server
-	// has proved that the first try did not run and cannot run later.
+	// All retries below are safe: by NotRun, the owner or the server states
+	// that the last try did not run and cannot run later.
 	read := a.mode == upstream.ModeRead
 	switch {
 	case next == elsewhere && read, next == elsewhereOnly && read:
@@ -101,7 +107,8 @@
 	return false
 }
 
-// learn tells the router what a refusal says of the upstream.
+// updateRouter tells the router what a refusal implies for the chosen upstream:
+// that it is stale or unavailable.
 func (a *attempt) learn(reason fault.Reason) {
 	name := a.chosen.Upstream.Name
 	if name == "" {
@@ -115,31 +122,34 @@
 	}
 }
 
-// againUnknown retries where a second run is harmless.
+// prepareRetryUnknown is prepareRetry after an unknown outcome. The request is
+// retried only if running it twice does no harm.
 func (a *attempt) againUnknown(ctx context.Context, unknown *fault.OutcomeUnknown, changed <-chan struct{}) bool {
 	a.unknown = unknown
 	if a.answered() {
-		// The caller has a part of the first answer.
+		// The caller has received a part of an answer; another answer must
+		// not follow it.
 		return false
 	}
 	if a.mode == upstream.ModeRead {
-		// The server refuses writes in read mode, so the first try changed
-		// nothing and a second run is harmless.
+		// The server refuses writes in read mode, so the last try changed
+		// nothing and a second run does no harm.
 		a.entry.router.Unavailable(a.chosen.Upstream.Name)
 		a.exclude()
 		return a.spend(unknown.Reason)
 	}
 	if a.requestID != "" {
-		// The ledger row of the request id makes a second run return the
-		// first one's answer, or makes the first one unable to commit.
+		// The request id makes the write idempotent: because of its row in the
+		// ledger, a second run returns the first one's answer or prevents the
+		// first one from committing.
 		return a.afterChange(ctx, unknown.Reason, changed)
 	}
 	return false
 }
 
-// reroute sends a batch that the server refused as read only to the primary in
-// write mode. The server's refusal proves that nothing was written. It happens
-// at most once, because the mode is then write.
+// retryAsWrite switches a batch that the server refused in read mode to write
+// mode, so that it is sent to the primary. The refusal proves that nothing was
+// written. This happens at most once, because the mode is write from then on.
 func (a *attempt) reroute() bool {
 	if a.mode != upstream.ModeRead || declaredReadOnly(a.request.Texts) {
 		return false
@@ -155,15 +165,16 @@
 	a.excluded = append(a.excluded, a.chosen.Upstream.Name)
 }
 
-// awaitUpstream handles a choice that found no upstream. Nothing was sent, so
-// waiting costs no budget.
+// awaitUpstream handles a try for which the router found no upstream. It waits
+// for a change of the registry, or considers the excluded upstreams again.
+// Nothing was sent, so waiting for a change costs no retry of the budget.
 func (a *attempt) awaitUpstream(ctx context.Context, refused *fault.NotRun, changed <-chan struct{}) bool {
 	if refused.Reason != fault.ReasonNoUpstream {
 		return false
 	}
 	if remedies[reasonOf(a.refusal)] == elsewhereOnly {
-		// Every eligible upstream is too busy. Asking them again would only
-		// add load.
+		// All upstreams that could serve the request are overloaded. Another
+		// try would only add to their load.
 		return false
 	}
 	if len(a.excluded) == 0 {
@@ -173,8 +184,9 @@
 	return a.afterChange(ctx, reasonOf(a.refusal), changed)
 }
 
-// afterChange waits for the registry to change or for the backoff. A retry
-// after a change costs no budget: a request sees few changes within its wait.
+// awaitRetry waits for the backoff, or until the registry changes, and reports
+// whether the request may be retried. A retry after a change costs no retry of the
+// budget, because there are few changes within the wait of a request.
 func (a *attempt) afterChange(ctx context.Context, reason fault.Reason, changed <-chan struct{}) bool {
 	wait := min(a.backoff(), a.remaining())
 	if a.pause(ctx, wait, changed) {
@@ -187,13 +199,15 @@
 	return a.spend(reason)
 }
 
-// backoff returns a random time up to a limit that doubles with every try.
+// backoff returns a random time up to a limit that doubles with every try (full
+// jitter).
 func (a *attempt) backoff() time.Duration {
 	limit := backoffBase << min(a.tries, 10)
 	return rand.N(min(limit, backoffCap)) + 1
 }
 
-// pause returns true if the registry changed before the wait had passed.
+// awaitChange waits until the registry changes. It returns false if the wait ends
+// or ctx is cancelled first.
 func (a *attempt) pause(ctx context.Context, wait time.Duration, changed <-chan struct{}) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -207,7 +221,8 @@
 	}
 }
 
-// spend takes one retry from the budget.
+// spendRetry takes one retry from the budget. It returns false if the budget is
+// empty or the request's wait has ended.
 func (a *attempt) spend(reason fault.Reason) bool {
 	if a.remaining() == 0 {
 		return false
@@ -225,6 +240,7 @@
 	return errors.As(err, &notRun)
 }
 
+// reasonOf returns the reason of an error; empty for errors that have none.
 func reasonOf(err error) fault.Reason {
 	var notRun *fault.NotRun
 	if errors.As(err, &notRun) {
@@ -241,8 +257,8 @@
 	return ""
 }
 
-// final counts an error that goes to the caller, and randomizes when the
-// caller should come back, so that callers do not all return at once.
+// finalError counts an error that goes to the caller. It randomizes RetryAfter, so
+// that callers do not all retry at the same moment.
 func (e *Entry) final(err error, class string, wait time.Duration) error {
 	metrics.Refused(e.metrics, class, reasonOf(err))
 	var notRun *fault.NotRun
--- a/entry/session.go
+++ b/entry/session.go
@@ -11,11 +11,11 @@
 	"lovageslip/upstream"
 )
 
-// MaxRequestID is the longest request id, in bytes.
+// MaxRequestID is the maximum length of a request id, in bytes.
 const MaxRequestID = 128
 
-// Session is one caller's session. It is used by one goroutine at a time,
-// except for Cancel.
+// Session is the session of one caller. Only one goroutine may use it at a time,
+// but Cancel and Running are safe to call at any time.
 type Session struct {
 	entry     *Entry
 	database  string
@@ -31,13 +31,13 @@
 
 	mu        sync.Mutex
 	running   exchange.Stream    // guarded by mu: the exchange of the batch in flight
-	interrupt context.CancelFunc // guarded by mu: ends waits of the batch in flight
+	interrupt context.CancelFunc // guarded by mu: cancels the context of the batch in flight
 }
 
 // Database returns the session's database.
 func (s *Session) Database() string { return s.database }
 
-// SetClass chooses the class of the following requests; empty for the default.
+// SetClass sets the class of the following requests; empty for the default class.
 // Errors: *fault.UnknownClass, *fault.NotRun, *NoDefaultClass.
 func (s *Session) SetClass(name string) error {
 	view, err := s.entry.view()
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// Class returns the name of the class in use; empty if there is none.
+// Class returns the name of the class of the following requests; empty if none
+// was set and there is no default class.
 func (s *Session) Class() string {
 	view := s.entry.directory.View()
 	if view == nil {
@@ -64,8 +65,8 @@
 	return c.Name
 }
 
-// SetToken makes the following reads include the position of a session token;
-// empty forgets the position. Errors: *fault.BadToken.
+// SetToken makes the following reads include the position of a session token. An
+// empty token resets the position. Errors: *fault.BadToken.
 func (s *Session) SetToken(token string) error {
 	if token == "" {
 		s.position = upstream.Position{}
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// Token returns the session token; empty if the session has seen no commit.
+// Token returns the session token; empty if the session has no position.
 func (s *Session) Token() string {
 	if s.position == (upstream.Position{}) {
 		return ""
@@ -103,7 +104,7 @@
 // InTransaction reports whether a transaction is open.
 func (s *Session) InTransaction() bool { return s.pinned != nil }
 
-// raise moves the session's position forward.
+// advance moves the session's position forward; an earlier position has no effect.
 func (s *Session) raise(position upstream.Position) {
 	merged := session.Merge(s.position, position)
 	if merged == s.position {
@@ -128,6 +129,7 @@
 	return s.runNew(ctx, request, sink)
 }
 
+// runNew runs a batch while no transaction is open.
 func (s *Session) runNew(ctx context.Context, request Request, sink upstream.Sink) (Reply, error) {
 	requestID := s.takeRequestID(request)
 	view, err := s.entry.view()
@@ -146,7 +148,8 @@
 	return s.finish(done), nil
 }
 
-// takeRequestID uses the request id up, unless the batch only prepares.
+// takeRequestID returns the request id and clears it. A batch that only prepares
+// gets none and leaves the id for the next one.
 func (s *Session) takeRequestID(request Request) string {
 	if len(request.Texts) == 0 {
 		return ""
@@ -175,7 +178,8 @@
 	return s.finish(done), nil
 }
 
-// pinnedWait returns the wait of the transaction's class.
+// pinnedWait returns the wait of the class of the open transaction; zero if the
+// class is not known.
 func (s *Session) pinnedWait() time.Duration {
 	view := s.entry.directory.View()
 	if view == nil {
@@ -185,7 +189,7 @@
 }
 
 func (s *Session) unpin() {
-	// The owner rolls back what is open; its errors are the owner's to log.
+	// The owner rolls back an open transaction and logs its own errors.
 	_ = s.pinned.Close()
 	s.pinned = nil
 }
--- a/entry/text.go
+++ b/entry/text.go
@@ -9,13 +9,13 @@
 	"lovageslip/upstream"
 )
 
-// readKeywords are the first keywords of statements that start in read mode.
-// This is only a hint: the server refuses a write in read mode.
+// readKeywords are the first keywords of statements that are tried in read mode
+// first. They need not be reliable, because the server refuses writes in read mode.
 var readKeywords = map[string]bool{
 	"SELECT": true, "SHOW": true, "VALUES": true, "TABLE": true, "WITH": true, "EXPLAIN": true,
 }
 
-// readOnlyBegins are the texts of transactions that run in read mode.
+// readOnlyBegins are the statements that begin a transaction in read mode.
 var readOnlyBegins = map[string]bool{
 	"BEGIN READ ONLY":                                             true,
 	"BEGIN TRANSACTION READ ONLY":                                 true,
@@ -29,11 +29,13 @@
 	"START TRANSACTION ISOLATION LEVEL SERIALIZABLE READ ONLY":    true,
 }
 
-// longestBegin bounds the texts that are compared with readOnlyBegins.
+// maxBeginLength is the length in bytes up to which texts are compared with
+// readOnlyBegins.
 const longestBegin = 80
 
-// modeOf returns the mode in which statements are tried first. A batch that
-// executes nothing runs in read mode.
+// initialMode returns the mode in which a batch of statements is tried first: write
+// mode if one of them is not a read by its text or has been refused in read mode
+// before. A batch that executes nothing runs in read mode.
 func (e *Entry) modeOf(texts []string) upstream.Mode {
 	for _, text := range texts {
 		if !startsRead(text) || e.writes.known(text) {
@@ -54,9 +56,9 @@
 	return false
 }
 
-// hasFollowing reports whether a semicolon is followed by anything, which may
-// be another statement. In a string or comment it is taken for one too; that
-// only costs a trip to the primary.
+// hasStatementAfter reports whether a semicolon is followed by more text, which may
+// be another statement. A semicolon in a string or comment counts too; the batch
+// is then sent to the primary without need.
 func hasFollowing(rest string) bool {
 	_, after, found := strings.Cut(rest, ";")
 	return found && strings.TrimSpace(after) != ""
@@ -70,14 +72,15 @@
 	return readOnlyBegins[strings.ToUpper(strings.Join(strings.Fields(plain), " "))]
 }
 
-// declaredReadOnly reports whether the caller itself asked for a read-only
-// transaction, so that a write in it is the caller's error.
+// declaredReadOnly reports whether the caller began a read-only transaction. A
+// write in it is then the caller's error and is not retried in write mode.
 func declaredReadOnly(texts []string) bool {
 	return len(texts) > 0 && isReadOnlyBegin(texts[0])
 }
 
 // FirstKeyword returns the first keyword of a text in upper case, and what
-// follows it. Leading space, comments and parentheses are skipped.
+// follows it. Leading white space, comments, parentheses and semicolons are
+// skipped.
 func FirstKeyword(text string) (keyword, rest string) {
 	text = skipIgnored(text)
 	end := 0
@@ -91,6 +94,8 @@
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_'
 }
 
+// skipIgnored returns the text without leading white space, comments, parentheses
+// and semicolons.
 func skipIgnored(text string) string {
 	for {
 		text = strings.TrimLeft(text, " \t\r\n\f(;")
@@ -105,7 +110,7 @@
 	}
 }
 
-// shapeOf hashes statement texts, to learn service times by.
+// shapeOf returns a hash of statement texts. Owners estimate service times by it.
 func shapeOf(texts []string) uint64 {
 	if len(texts) == 1 {
 		return xxhash.Sum64String(texts[0])
@@ -119,11 +124,12 @@
 	return digest.Sum64()
 }
 
-// learnedSize bounds the texts that are remembered as writes.
+// knownWritesSize is the number of texts that knownWrites can hold.
 const learnedSize = 8192
 
-// learnedTexts remembers texts that were refused as read only. A later text
-// with the same slot replaces an earlier one. It is safe for concurrent use.
+// knownWrites is a set of hashes of texts that were refused in read mode. Each
+// hash has one place in the array; a later text with the same place replaces an
+// earlier one. It is safe for concurrent use.
 type learnedTexts struct {
 	slots [learnedSize]atomic.Uint64
 }
--- a/fault/fault.go
+++ b/fault/fault.go
@@ -1,6 +1,7 @@
-// Package fault holds the error types that cross package boundaries. Every
-// error says whether the request ran, so that callers and retry code never
-// have to guess. Adapters map these types to the wire once, at the edge.
+// Package fault defines the errors that packages return to each other. The type
+// of an error says whether the request ran, did not run, or may have run, so that
+// callers and retries can rely on it. Only the packages that speak a protocol map
+// the types to messages on the wire.
 package fault
 
 import (
@@ -8,11 +9,11 @@
 	"time"
 )
 
-// Reason names why a request was refused or retried. It labels counters and
-// goes to callers in the error detail.
+// Reason is why a request was refused or retried. It is a label of counters and
+// part of the error detail that callers get.
 type Reason string
 
-// Reasons for refusals and retries.
+// Reasons of refusals and retries.
 const (
 	ReasonNotOwner            Reason = "not_owner"
 	ReasonLeaseLapsed         Reason = "lease_lapsed"
@@ -40,7 +41,8 @@
 type NotRun struct {
 	Reason Reason
 	Detail string
-	// RetryAfter is when the caller should come back; zero if unknown.
+	// RetryAfter is how long the caller should wait before a retry; zero if
+	// unknown.
 	RetryAfter time.Duration
 }
 
@@ -62,7 +64,8 @@
 
 func (e *OutcomeUnknown) Unwrap() error { return e.Err }
 
-// AlreadyCommitted reports a resent transaction whose first try committed.
+// AlreadyCommitted reports a transaction with a request id under which an earlier
+// try has committed.
 type AlreadyCommitted struct {
 	RequestID string
 }
@@ -71,8 +74,8 @@
 	return "request " + e.RequestID + " has committed before"
 }
 
-// Database is an error that the database server answered. The statement ran
-// and was refused by the database.
+// Database is an error in the answer of the database server. The statement ran
+// and failed there.
 type Database struct {
 	Code     string // SQLSTATE
 	Severity string
@@ -83,7 +86,7 @@
 	return e.Severity + " " + e.Code + ": " + e.Message
 }
 
-// UnknownClass reports a class that no operator has defined. Nothing ran.
+// UnknownClass reports a class that operators have not defined. Nothing ran.
 type UnknownClass struct {
 	Class string
 }
@@ -98,15 +101,16 @@
 
 func (e *BadToken) Error() string { return "session token refused: " + e.Detail }
 
-// Unsupported reports a feature that pooled connections cannot carry. Nothing
-// ran.
+// Unsupported reports a feature that does not work with pooled connections.
+// Nothing ran.
 type Unsupported struct {
 	Feature string
 }
 
 func (e *Unsupported) Error() string { return e.Feature + " is not supported with pooled connections" }
 
-// Invalid reports bad input together with the field and the allowed range.
+// Invalid reports an invalid value, the field it was given for and the values
+// that are allowed.
 type Invalid struct {
 	Field   string
 	Value   string
@@ -117,8 +121,8 @@
 	return fmt.Sprintf("%s: %q is not valid; allowed: %s", e.Field, e.Value, e.Allowed)
 }
 
-// IO wraps a failed read, write or dial. Nothing can be said of whether a
-// request in flight ran.
+// IO reports a failed read, write or dial. Op is the operation. A request that was
+// in flight may or may not have run.
 type IO struct {
 	Op  string
 	Err error
--- a/pool/liveness.go
+++ b/pool/liveness.go
@@ -6,32 +6,35 @@
 	"lovageslip/upstream"
 )
 
-// Activity is implemented by connections that can ask the server whether it
-// still works on the batch of another connection.
+// Activity is implemented by connections that can ask the server whether it is
+// still executing a batch of another connection.
 type Activity interface {
 	// Active reports whether the server is executing a batch of other.
 	Active(ctx context.Context, other upstream.Conn) (bool, error)
 }
 
-// Verdict is what a probe found out about a connection without a sign of life.
+// ProbeResult is the state of a connection that has delivered nothing for a
+// while, as found by Pool.Probe.
 type Verdict int
 
-// Verdicts of a probe.
+// Results of a probe.
 const (
-	// Unreachable means that a new connection does not work either.
+	// Unreachable means that no new connection could be opened, or that the
+	// upstream did not answer a status query on it.
 	Unreachable Verdict = iota + 1
-	// Working means that the server still executes the batch.
+	// Working means that the server is still executing the batch.
 	Working
 	// Idle means that the server executes nothing for the connection: the
-	// batch or its answer was lost on the way.
+	// batch or its answer was lost on the network.
 	Idle
-	// Unclear means that new connections work, and that the server cannot
-	// tell what becomes of the old one.
+	// Unclear means that new connections work, but that the server could not
+	// tell whether it still executes the batch.
 	Unclear
 )
 
-// Probe asks the upstream about suspect over a new connection. The connection
-// is one of those reserved, so that a pool at its limit can be probed.
+// Probe asks the upstream over a new connection whether it still executes the
+// batch of suspect, a connection that has delivered nothing for a while. The new
+// connection is one of ReservedConnections, so it can be opened at the limit too.
 func (p *Pool) Probe(ctx context.Context, suspect upstream.Conn) Verdict {
 	conn, err := p.opts.Dialer.Dial(ctx, p.opts.Address, p.opts.Database)
 	if err != nil {
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -1,6 +1,6 @@
-// Package pool keeps the connections of one owner to one upstream. It paces
-// dialing, keeps to the upstream's limit, and hands out only clean
-// connections.
+// Package pool is the connection pool of an owner to one upstream. It limits the
+// rate of dials and the number of connections to what the upstream accepts, and
+// resets connections with session state before they are used again.
 package pool
 
 import (
@@ -20,11 +20,11 @@
 )
 
 const (
-	// Reserved connections of each upstream are left to status queries,
-	// watching and promotion.
+	// ReservedConnections is how many of the connections that an upstream
+	// accepts are left to status queries, watches, probes and promotion.
 	Reserved = 4
 	// maxDials bounds the dials in progress, so that the loss of all
-	// connections does not flood an upstream that just came back.
+	// connections does not flood an upstream that has just recovered.
 	maxDials = 2
 
 	defaultDialTimeout = 2 * time.Second
@@ -32,27 +32,28 @@
 	resetTimeout       = 2 * time.Second
 	minRedial          = 20 * time.Millisecond
 	maxRedial          = 500 * time.Millisecond
-	// maxWaiting bounds the requests that wait for a connection.
+	// maxWaiting bounds the calls of Get that wait for a connection.
 	maxWaiting = 1024
 )
 
-// Options configure a Pool.
+// Options configures the Pool of one upstream. Log, Metrics and zero durations
+// are optional.
 type Options struct {
 	Log     *slog.Logger
 	Metrics tally.Scope
 	Dialer  upstream.Dialer
-	// Address is an IP number and port.
+	// Address is the upstream's IP number and port.
 	Address  string
 	Database string
-	// MaxConnections is what the upstream accepts; the pool uses Reserved
-	// fewer, and at least 1.
+	// MaxConnections is how many connections the upstream accepts; the pool
+	// uses ReservedConnections fewer, and at least 1.
 	MaxConnections int
 	DialTimeout    time.Duration
 	// IdleTimeout is how long an unused connection is kept.
 	IdleTimeout time.Duration
 }
 
-// Pool holds connections. It is safe for concurrent use.
+// Pool holds the connections to one upstream. It is safe for concurrent use.
 type Pool struct {
 	opts    Options
 	log     *slog.Logger
@@ -78,17 +79,18 @@
 	since time.Time
 }
 
-// request is a caller of Get that waits.
+// request is a call of Get that waits for a connection.
 type request struct {
-	answer chan answer // buffered, one answer
+	answer chan answer // buffered; gets one result
 }
 
+// getResult is what a waiting call of Get returns.
 type answer struct {
 	conn upstream.Conn
 	err  error
 }
 
-// New returns a pool. It dials nothing before the first Get.
+// New returns a pool without connections. It dials none before the first Get.
 func New(o Options) *Pool {
 	if o.DialTimeout == 0 {
 		o.DialTimeout = defaultDialTimeout
@@ -105,7 +107,8 @@
 
 func usable(maxConnections int) int { return max(1, maxConnections-Reserved) }
 
-// SetLimit follows a change of the upstream's max_connections.
+// SetLimit sets how many connections the upstream accepts. The pool uses
+// ReservedConnections fewer, and at least 1.
 func (p *Pool) SetLimit(maxConnections int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,6 +124,8 @@
 	return c, c != nil
 }
 
+// popIdle removes and returns the idle connection that was used last; nil if
+// there is none. It closes broken ones.
 func (p *Pool) takeIdle() upstream.Conn {
 	for len(p.idle) > 0 {
 		last := len(p.idle) - 1
@@ -134,13 +139,13 @@
 	return nil
 }
 
-// lose forgets a connection and closes it.
+// removeConn removes a connection from the count and closes it.
 func (p *Pool) lose(c upstream.Conn) {
 	p.open--
 	go func() { _ = c.Close() }()
 }
 
-// Get returns an idle connection, or waits for one to be returned or dialed.
+// Get returns an idle connection, or waits until one is returned or dialed.
 // Errors: *fault.NotRun with ReasonUpstreamUnavailable, ReasonQueueFull or
 // ReasonCancelled.
 func (p *Pool) Get(ctx context.Context) (upstream.Conn, error) {
@@ -156,6 +161,7 @@
 	}
 }
 
+// requestConn returns an idle connection, or else the request that waits for one.
 func (p *Pool) ask() (*request, upstream.Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -181,6 +187,8 @@
 	return &fault.NotRun{Reason: fault.ReasonUpstreamUnavailable, Detail: detail, RetryAfter: retryAfter}
 }
 
+// abandon removes r, whose caller has gone. It returns a connection that r has
+// received in the meantime to the pool.
 func (p *Pool) abandon(r *request) error {
 	p.mu.Lock()
 	for i, w := range p.waiting {
@@ -200,7 +208,8 @@
 	return &fault.NotRun{Reason: fault.ReasonCancelled, Detail: "left before a connection was free"}
 }
 
-// dial starts as many dials as waiting requests need and the limits allow.
+// startDials starts as many dials as the waiting requests need and the limits
+// allow. It starts none during the backoff after a failed dial.
 func (p *Pool) dial() {
 	if p.closed || time.Now().Before(p.redialAt) {
 		return
@@ -229,15 +238,16 @@
 	p.dial()
 }
 
-// dialFailed delays the next dial. Requests wait on only while there are
-// other connections that may be returned.
+// dialFailed starts the backoff until the next dial. If no connection exists and
+// no dial is in progress, no connection can become free and the waiting requests
+// fail.
 func (p *Pool) dialFailed(err error) {
 	p.metrics.Counter("dial_failed_total").Inc(1)
 	pause := min(minRedial<<min(p.failures, 10), maxRedial)
 	pause = pause/2 + rand.N(pause)
 	p.failures++
 	p.redialAt = time.Now().Add(pause)
-	p.log.Warn("dial failed", "address", p.opts.Address, "err", err)
+	p.log.Warn("dialing the upstream failed", "address", p.opts.Address, "err", err)
 	time.AfterFunc(pause, p.redial)
 	if p.open > 0 || p.dialing > 0 {
 		return
@@ -245,6 +255,7 @@
 	p.failAll(unavailable("the upstream refuses connections: "+err.Error(), pause))
 }
 
+// failWaiting returns err to all waiting requests.
 func (p *Pool) failAll(err error) {
 	for _, r := range p.waiting {
 		r.answer <- answer{err: err}
@@ -258,7 +269,8 @@
 	p.dial()
 }
 
-// offer gives a clean connection to the longest waiting request, or keeps it.
+// deliver passes a clean connection to the request that has waited longest, or
+// keeps it idle. It closes the connection if the pool is closed or over its limit.
 func (p *Pool) offer(c upstream.Conn) {
 	if p.closed || p.open > p.limit {
 		p.lose(c)
@@ -274,8 +286,9 @@
 	r.answer <- answer{conn: c}
 }
 
-// Put returns a connection with no transaction open. dirty says that session
-// state may be left on it; the pool then resets it before its next use.
+// Put returns a connection to the pool. No transaction may be open on it. dirty
+// says that session state may be left on it; the pool then resets it before its
+// next use.
 func (p *Pool) Put(c upstream.Conn, dirty bool) {
 	if c.Broken() {
 		p.Discard(c)
@@ -300,7 +313,7 @@
 	p.Put(c, false)
 }
 
-// Discard closes a connection that must not be used again.
+// Discard closes a connection that came from the pool and must not be used again.
 func (p *Pool) Discard(c upstream.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -334,7 +347,7 @@
 	p.tasks.Wait()
 }
 
-// CloseIdle closes all connections that nothing uses now.
+// CloseIdle closes all idle connections.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -348,7 +361,7 @@
 	p.idle = nil
 }
 
-// trimLoop closes connections that nothing has used for a while.
+// trimLoop closes connections that have been idle for IdleTimeout.
 func (p *Pool) trimLoop() {
 	ticker := time.NewTicker(max(p.opts.IdleTimeout/4, time.Millisecond))
 	defer ticker.Stop()
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -14,7 +14,7 @@
 	"lovageslip/upstream"
 )
 
-// dialer makes connections in memory.
+// dialer is a fake Dialer. Its connections have no server.
 type dialer struct {
 	mu      sync.Mutex // guards all fields
 	refuse  bool
@@ -22,9 +22,9 @@
 	peak    int
 	dialed  int
 	failed  int
-	hold    chan struct{}
+	hold    chan struct{} // if set, dials wait until it is closed
 	resets  int
-	// resetFails makes Reset fail, as within a transaction.
+	// resetFails makes Reset fail, as it does within a transaction.
 	resetFails bool
 }
 
@@ -116,7 +116,8 @@
 	return c.(*conn)
 }
 
-// Guards against a flood of dials when all connections are lost at once.
+// Guards against more than two dials at a time after all connections were lost
+// at once.
 func TestDialPacingAfterLossOfAllConnections(t *testing.T) {
 	d := &dialer{}
 	p := newPool(t, d, 20)
@@ -146,8 +147,8 @@
 	assert.Equal(t, d.get(func() int { return d.peak }), 2)
 }
 
-// Guards against a busy loop of dials to a server that refuses, and against
-// requests that wait for one.
+// Guards against a busy loop of dials to an upstream that refuses connections,
+// and against requests that wait for it instead of failing.
 func TestRefusedDialsFailFastAndBackOff(t *testing.T) {
 	d := &dialer{refuse: true}
 	p := newPool(t, d, 10)
@@ -167,7 +168,8 @@
 	})
 }
 
-// Guards against more connections than the upstream accepts.
+// Guards against a pool that opens more connections than its limit while a
+// request waits.
 func TestLimitLeavesReservedConnections(t *testing.T) {
 	d := &dialer{}
 	p := newPool(t, d, 2)
@@ -190,7 +192,8 @@
 	cancel()
 }
 
-// Guards against session state that leaks to the next user.
+// Guards against session state of one request that is left on the connection
+// when the next one uses it.
 func TestDirtyConnectionIsResetOrClosed(t *testing.T) {
 	d := &dialer{}
 	p := newPool(t, d, 1)
@@ -208,7 +211,8 @@
 	assert.Assert(t, get(t, p) != c)
 }
 
-// Guards against a request that leaves with a connection that it never uses.
+// Guards against connections that are lost when Get is cancelled just as it
+// receives one.
 func TestAbandonedGetLosesNoConnection(t *testing.T) {
 	d := &dialer{}
 	p := newPool(t, d, 1)
@@ -226,7 +230,7 @@
 	assert.Equal(t, idle, 1)
 }
 
-// Guards against idle connections that are kept for ever.
+// Guards against idle connections that are never closed.
 func TestIdleConnectionsAreTrimmed(t *testing.T) {
 	p := New(Options{Dialer: &dialer{}, MaxConnections: 10, IdleTimeout: 10 * time.Millisecond})
 	t.Cleanup(p.Close)
--- a/session/session.go
+++ b/session/session.go
@@ -1,6 +1,7 @@
-// Package session signs and verifies session tokens. A token carries the
-// position that the session's reads must include, so that a session keeps
-// read-your-writes on any proxy.
+// Package session signs and verifies session tokens. A token carries the log
+// position that the reads of a session must include, so that a caller reads its own
+// writes on any proxy. Proxies sign a token after each commit and verify those that
+// callers send.
 package session
 
 import (
@@ -14,20 +15,20 @@
 )
 
 const (
-	// version is the first byte of every token.
+	// version is the version of the token format, the first byte of a token.
 	version = 1
-	// MinSecret is the shortest secret, in bytes.
+	// MinSecret is the minimum length of a secret, in bytes.
 	MinSecret = 16
 	macSize   = sha256.Size
-	// headerSize is version, key id, term and offset.
+	// headerSize is the size of version, key id, term and offset.
 	headerSize = 1 + 4 + 8 + 8
 	tokenSize  = headerSize + macSize
 )
 
-// KeyID names a signing key.
+// KeyID identifies a signing key. It is part of each token.
 type KeyID uint32
 
-// Key is a secret that all proxies share.
+// Key is a secret for signing tokens. All proxies share it.
 type Key struct {
 	ID     KeyID
 	Secret []byte
@@ -40,7 +41,8 @@
 	accepted map[KeyID]Key
 }
 
-// NewSigner returns a signer that signs with the first key and accepts all.
+// NewSigner returns a signer that signs with the first key and accepts tokens of
+// all keys.
 // Errors: *fault.Invalid for no key, a repeated key id or a short secret.
 func NewSigner(keys ...Key) (*Signer, error) {
 	if len(keys) == 0 {
@@ -59,7 +61,7 @@
 	return &Signer{signing: keys[0], accepted: accepted}, nil
 }
 
-// Sign returns the token of a position in a database's log.
+// Sign returns a token for a position in the log of a database.
 func (s *Signer) Sign(database string, p upstream.Position) string {
 	token := make([]byte, headerSize, tokenSize)
 	token[0] = version
@@ -70,8 +72,8 @@
 	return base64.RawURLEncoding.EncodeToString(token)
 }
 
-// Verify returns the position of a token. Errors: *fault.BadToken for a token
-// that is damaged, forged or of another database.
+// Verify checks a token and returns its position. Errors: *fault.BadToken for a
+// token that is damaged, forged or of another database.
 func (s *Signer) Verify(database, text string) (upstream.Position, error) {
 	token, err := base64.RawURLEncoding.Strict().DecodeString(text)
 	if err != nil || len(token) != tokenSize || token[0] != version {
@@ -91,8 +93,8 @@
 	}, nil
 }
 
-// mac covers the header and the database. The header has a fixed size, so the
-// two cannot be confused.
+// mac returns the HMAC-SHA256 of the header and the database. The header has a
+// fixed size, so no other pair of header and database gives the same input.
 func mac(key Key, header []byte, database string) []byte {
 	h := hmac.New(sha256.New, key.Secret)
 	h.Write(header)
@@ -100,8 +102,9 @@
 	return h.Sum(nil)
 }
 
-// Merge returns the later of two positions of one database. Both were
-// acknowledged, so the later one's history includes the earlier one.
+// Merge returns the later of two positions of one database. Both must be positions
+// of acknowledged commits; the history up to the later one then includes the
+// earlier one.
 func Merge(a, b upstream.Position) upstream.Position {
 	if a.Before(b) {
 		return b
