--- a/admission/admission.go
+++ b/admission/admission.go
@@ -94,11 +94,11 @@
 
 	// mu guards all fields below.
 	mu            sync.Mutex
-	board         board
+	upstream      upstreamState
 	policy        Policy
 	continuations list.List
-	classes       map[string]*usage
-	callers       map[string]*usage
+	classUsage    map[string]*usage
+	callerUsage   map[string]*usage
 	waiting       int
 }
 
@@ -114,19 +114,19 @@
 		o.Policy = NewShortest()
 	}
 	q := &Queue{
-		log:     logging.For(o.Log, "admission"),
-		metrics: metrics.OrNoop(o.Metrics),
-		bounds:  o.Bounds.withDefaults(),
-		clock:   o.clock,
-		policy:  o.Policy,
-		classes: map[string]*usage{},
-		callers: map[string]*usage{},
+		log:         logging.For(o.Log, "admission"),
+		metrics:     metrics.OrNoop(o.Metrics),
+		bounds:      o.Bounds.withDefaults(),
+		clock:       o.clock,
+		policy:      o.Policy,
+		classUsage:  map[string]*usage{},
+		callerUsage: map[string]*usage{},
 	}
 	if q.clock == nil {
 		q.clock = newWallClock(q.tick)
 	}
-	q.board.slots = max(1, o.Slots)
-	q.board.learned = newLearner()
+	q.upstream.slots = max(1, o.Slots)
+	q.upstream.estimator = newEstimator()
 	return q
 }
 
@@ -159,9 +159,9 @@
 	case s := <-granted:
 		return s, nil
 	case <-ctx.Done():
-		return q.leave(w, granted, fault.ReasonCancelled)
+		return q.abandon(w, granted, fault.ReasonCancelled)
 	case <-expired:
-		return q.leave(w, granted, fault.ReasonWaitExceeded)
+		return q.abandon(w, granted, fault.ReasonWaitExceeded)
 	}
 }
 
@@ -184,7 +184,7 @@
 	if q.full(w) {
 		return q.refuse(w, fault.ReasonQueueFull, "the queue of the upstream is full", q.backlog(now))
 	}
-	if start, late := q.late(w, now); late {
+	if start, late := q.predictStart(w, now); late {
 		return q.refuse(w, fault.ReasonWaitExceeded, "the predicted start lies beyond the wait", start)
 	}
 	q.add(w, now)
@@ -194,11 +194,11 @@
 
 // predictStart returns how long w is predicted to wait for a slot and whether
 // that is longer than w may wait.
-func (q *Queue) late(w *waiter, now time.Time) (start time.Duration, late bool) {
+func (q *Queue) predictStart(w *waiter, now time.Time) (start time.Duration, late bool) {
 	if w.Continuation || w.Long {
 		return 0, false
 	}
-	start, limit := q.policy.predict(&q.board, w, now)
+	start, limit := q.policy.predict(&q.upstream, w, now)
 	return start, start > limit
 }
 
@@ -224,7 +224,7 @@
 func (q *Queue) backlog(now time.Time) time.Duration {
 	// With the longest wait that a class can have, the probe starts last.
 	probe := &waiter{arrived: now, deadline: now.Add(class.MaxWait)}
-	start, _ := q.policy.predict(&q.board, probe, now)
+	start, _ := q.policy.predict(&q.upstream, probe, now)
 	return start
 }
 
@@ -234,16 +234,16 @@
 		w.element = q.continuations.PushBack(w)
 		return
 	}
-	q.policy.push(&q.board, w, now)
+	q.policy.push(&q.upstream, w, now)
 }
 
 func (q *Queue) count(w *waiter, n int) {
 	q.waiting += n
-	adjust(q.classes, w.Class, n, n*w.Bytes)
-	adjust(q.callers, w.Caller, n, n*w.Bytes)
+	adjustUsage(q.classUsage, w.Class, n, n*w.Bytes)
+	adjustUsage(q.callerUsage, w.Caller, n, n*w.Bytes)
 }
 
-func adjust(m map[string]*usage, key string, entries, bytes int) {
+func adjustUsage(m map[string]*usage, key string, entries, bytes int) {
 	u := m[key]
 	if u == nil {
 		u = &usage{}
@@ -257,12 +257,12 @@
 }
 
 func (q *Queue) full(w *waiter) bool {
-	if u := q.classes[w.Class]; u != nil {
+	if u := q.classUsage[w.Class]; u != nil {
 		if u.entries >= q.bounds.ClassEntries || u.bytes+w.Bytes > q.bounds.ClassBytes {
 			return true
 		}
 	}
-	u := q.callers[w.Caller]
+	u := q.callerUsage[w.Caller]
 	if u == nil {
 		return false
 	}
@@ -272,7 +272,7 @@
 // abandon removes w, whose caller has gone or whose wait has ended, from the
 // queue and returns the refusal. If a slot was granted in the meantime, it is
 // returned after the end of a wait, and released if the caller has gone.
-func (q *Queue) leave(w *waiter, granted chan *Slot, reason fault.Reason) (*Slot, error) {
+func (q *Queue) abandon(w *waiter, granted chan *Slot, reason fault.Reason) (*Slot, error) {
 	if !q.remove(w) {
 		s := <-granted
 		if reason == fault.ReasonWaitExceeded {
@@ -305,7 +305,7 @@
 func (q *Queue) SetSlots(n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.board.slots = max(1, n)
+	q.upstream.slots = max(1, n)
 	q.dispatch(q.clock.Now())
 }
 
@@ -322,8 +322,8 @@
 func (q *Queue) Pace() (interval time.Duration, slots int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	all := q.board.learned.all.refine(service{}, q.clock.Now())
-	return seconds(all.mean / float64(max(q.board.slots, 1))), q.board.slots
+	all := q.upstream.estimator.overall.withPrior(serviceTime{}, q.clock.Now())
+	return toDuration(all.mean / float64(max(q.upstream.slots, 1))), q.upstream.slots
 }
 
 // Queued returns the number of waiting requests.
@@ -337,7 +337,7 @@
 func (q *Queue) Running() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.board.running)
+	return len(q.upstream.running)
 }
 
 // Patience returns the inactivity timeout of running requests of a class and
@@ -346,7 +346,7 @@
 func (q *Queue) Patience(class string, shape uint64) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.board.learned.patience(kind{class: class, shape: shape}, q.clock.Now())
+	return q.upstream.estimator.inactivityTimeout(kind{class: class, shape: shape}, q.clock.Now())
 }
 
 // Lost records that a request was considered lost after elapsed without any
@@ -355,7 +355,7 @@
 func (q *Queue) Lost(elapsed time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.board.learned.sawLong(elapsed.Seconds(), q.clock.Now())
+	q.upstream.estimator.observeLongest(elapsed.Seconds(), q.clock.Now())
 }
 
 // tick is called by the clock at the time passed to Arm. It starts requests
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -25,7 +25,7 @@
 
 // trainEstimates runs short and long requests until the queue can tell them
 // apart.
-func teach(t *testing.T, q *Queue, short, long uint64) {
+func trainEstimates(t *testing.T, q *Queue, short, long uint64) {
 	t.Helper()
 	for range 40 {
 		acquire(t, q, request(short)).Release(time.Millisecond)
@@ -67,30 +67,30 @@
 func TestStragglerNeverTakesLastSlot(t *testing.T) {
 	for _, slots := range []int{2, 3, 5} {
 		q := New(Options{Slots: slots})
-		teach(t, q, 1, 2)
-		var held []*Slot
+		trainEstimates(t, q, 1, 2)
+		var occupied []*Slot
 		for range slots - 1 {
-			held = append(held, acquire(t, q, request(2)))
+			occupied = append(occupied, acquire(t, q, request(2)))
 		}
 		waiting, _ := inBackground(context.Background(), q, request(2))
 		continuation := request(2)
 		continuation.Continuation = true
-		alsoWaiting, _ := inBackground(context.Background(), q, continuation)
+		waitingContinuation, _ := inBackground(context.Background(), q, continuation)
 		waitQueued(t, q, 2)
 		acquire(t, q, request(1)).Release(time.Millisecond)
 		assert.Equal(t, q.Running(), slots-1)
-		held[0].Release(time.Second)
+		occupied[0].Release(time.Second)
 		// The batch of an open transaction starts before the new request.
-		(<-alsoWaiting).Release(time.Second)
+		(<-waitingContinuation).Release(time.Second)
 		(<-waiting).Release(time.Second)
 	}
 }
 
 // Guards against requests that were expected to be short, run long and keep all
 // slots while a short one waits.
-func TestUnannouncedStragglerGivesUpSlot(t *testing.T) {
+func TestUnexpectedStragglerIsPreempted(t *testing.T) {
 	q := New(Options{Slots: 2})
-	teach(t, q, 1, 2)
+	trainEstimates(t, q, 1, 2)
 	r := request(1)
 	r.Preemptible = true
 	first, second := acquire(t, q, r), acquire(t, q, r)
@@ -108,9 +108,9 @@
 
 // Guards against preempting a request after a part of its answer was sent: it
 // could not be run again.
-func TestKeptWorkIsNotStopped(t *testing.T) {
+func TestRequestIsNotPreemptedAfterAnswerHasBegun(t *testing.T) {
 	q := New(Options{Slots: 2})
-	teach(t, q, 1, 2)
+	trainEstimates(t, q, 1, 2)
 	r := request(1)
 	r.Preemptible = true
 	first, second := acquire(t, q, r), acquire(t, q, r)
@@ -131,40 +131,40 @@
 func TestCancelledRequestLeavesQueue(t *testing.T) {
 	for _, policy := range []Policy{NewFIFO(), NewShortest()} {
 		q := New(Options{Slots: 1, Policy: policy})
-		held := acquire(t, q, request(1))
+		occupied := acquire(t, q, request(1))
 		ctx, cancel := context.WithCancel(context.Background())
 		_, errs := inBackground(ctx, q, request(1))
 		waitQueued(t, q, 1)
 		cancel()
 		assertReason(t, <-errs, fault.ReasonCancelled)
 		assert.Equal(t, q.Queued(), 0)
-		held.Release(time.Millisecond)
+		occupied.Release(time.Millisecond)
 		assert.Equal(t, q.Running(), 0)
 	}
 }
 
 // Guards against requests that wait although they cannot start in time. They are
 // refused at once, with times to retry after that differ.
-func TestHopelessWaitRefusedAtOnce(t *testing.T) {
+func TestRequestThatCannotStartInTimeIsRefusedAtOnce(t *testing.T) {
 	q := New(Options{Slots: 1})
 	for range 20 {
 		acquire(t, q, request(1)).Release(time.Minute)
 	}
-	held := acquire(t, q, request(1))
-	defer held.Release(time.Minute)
-	hopeless := request(1)
-	hopeless.WaitRemaining = 20 * time.Second
-	times := map[time.Duration]bool{}
+	occupied := acquire(t, q, request(1))
+	defer occupied.Release(time.Minute)
+	late := request(1)
+	late.WaitRemaining = 20 * time.Second
+	retryTimes := map[time.Duration]bool{}
 	for range 10 {
 		began := time.Now()
-		_, err := q.Acquire(context.Background(), hopeless)
+		_, err := q.Acquire(context.Background(), late)
 		assertReason(t, err, fault.ReasonWaitExceeded)
 		assert.Assert(t, time.Since(began) < 19*time.Second)
 		retry := err.(*fault.NotRun).RetryAfter
 		assert.Assert(t, retry > 0)
-		times[retry] = true
+		retryTimes[retry] = true
 	}
-	assert.Assert(t, len(times) > 1)
+	assert.Assert(t, len(retryTimes) > 1)
 }
 
 // Guards against an expected wait that ignores the waiting requests: proxies
@@ -174,8 +174,8 @@
 	for range 20 {
 		acquire(t, q, request(1)).Release(time.Second)
 	}
-	held := acquire(t, q, request(1))
-	defer held.Release(time.Second)
+	occupied := acquire(t, q, request(1))
+	defer occupied.Release(time.Second)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for n := range 5 {
@@ -190,8 +190,8 @@
 func TestQueueBounds(t *testing.T) {
 	bounds := Bounds{ClassEntries: 3, CallerEntries: 2, ClassBytes: 100, CallerBytes: 50}
 	q := New(Options{Slots: 1, Bounds: bounds})
-	held := acquire(t, q, request(1))
-	defer held.Release(time.Millisecond)
+	occupied := acquire(t, q, request(1))
+	defer occupied.Release(time.Millisecond)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	big := request(1)
@@ -236,17 +236,17 @@
 
 // Guards against memory that grows with the number of statement texts, and
 // against old service times that keep their weight.
-func TestLearnedTimesAreBoundedAndForgotten(t *testing.T) {
-	l := newLearner()
+func TestEstimatesAreBoundedAndDecay(t *testing.T) {
+	est := newEstimator()
 	now := time.Unix(1000, 0)
 	for shape := range uint64(2 * maxShapes) {
-		l.observe(kind{class: "c", shape: shape}, time.Second, now)
+		est.observe(kind{class: "c", shape: shape}, time.Second, now)
 	}
-	assert.Equal(t, len(l.shapes), maxShapes)
+	assert.Equal(t, len(est.shapes), maxShapes)
 	k := kind{class: "c", shape: 2*maxShapes - 1}
 	for range 60 {
 		now = now.Add(time.Second)
-		l.observe(k, time.Millisecond, now)
+		est.observe(k, time.Millisecond, now)
 	}
-	assert.Assert(t, l.expect(k, now).typical < 0.002, "%v", l.expect(k, now))
+	assert.Assert(t, est.expectedTime(k, now).typical < 0.002, "%v", est.expectedTime(k, now))
 }
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -18,16 +18,16 @@
 // time that was drawn for it.
 
 const (
-	unit        = 5 * time.Millisecond // mean
-	stragglers  = 0.01
-	slowness    = 100 // service time of a straggler, in short ones
-	cancelDelay = time.Millisecond
+	shortServiceTime = 5 * time.Millisecond // mean
+	stragglerShare   = 0.01
+	stragglerFactor  = 100 // service time of a straggler, in short ones
+	cancelDelay      = time.Millisecond
 )
 
 // task is one simulated request.
 type task struct {
 	short          bool
-	arrive         time.Time
+	arrivedAt      time.Time
 	service        time.Duration
 	wait           time.Duration
 	started, ended time.Time
@@ -57,26 +57,26 @@
 
 // simulation is an event loop in virtual time, and the clock of its queue.
 type simulation struct {
-	now    time.Time
-	seq    int
-	events events
-	queue  *Queue
-	random *rand.Rand
-	tasks  []*task
-	live   map[*Slot]func()
+	now     time.Time
+	seq     int
+	events  events
+	queue   *Queue
+	random  *rand.Rand
+	tasks   []*task
+	running map[*Slot]func()
 }
 
 func newSimulation(p Policy, slots int, seed uint64) *simulation {
-	s := &simulation{now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, 1)), live: map[*Slot]func(){}}
+	s := &simulation{now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, 1)), running: map[*Slot]func(){}}
 	s.queue = New(Options{Slots: slots, Policy: p, clock: s, Bounds: Bounds{CallerEntries: 1 << 30, CallerBytes: 1 << 40}})
 	return s
 }
 
 func (s *simulation) Now() time.Time { return s.now }
 
-func (s *simulation) Arm(at time.Time) { s.at(at, s.queue.tick) }
+func (s *simulation) Arm(at time.Time) { s.schedule(at, s.queue.tick) }
 
-func (s *simulation) at(when time.Time, do func()) {
+func (s *simulation) schedule(when time.Time, do func()) {
 	s.seq++
 	heap.Push(&s.events, event{at: when, seq: s.seq, do: do})
 }
@@ -93,10 +93,10 @@
 // stopVictims cancels the requests that the queue has preempted, as the owner
 // does.
 func (s *simulation) stopVictims() {
-	for slot, stop := range s.live {
+	for slot, stop := range s.running {
 		if slot.preempted {
-			delete(s.live, slot)
-			s.at(s.now.Add(cancelDelay), stop)
+			delete(s.running, slot)
+			s.schedule(s.now.Add(cancelDelay), stop)
 		}
 	}
 }
@@ -109,26 +109,26 @@
 		}
 		t.runs++
 		began := s.now
-		over := false
-		s.live[slot] = func() {
-			if over {
+		finished := false
+		s.running[slot] = func() {
+			if finished {
 				return
 			}
-			over = true
+			finished = true
 			slot.Release(NotMeasured)
 			again := req
 			again.Long = true
 			again.Continuation = false
-			again.Waited += s.now.Sub(t.arrive)
-			again.WaitRemaining -= s.now.Sub(t.arrive)
+			again.Waited += s.now.Sub(t.arrivedAt)
+			again.WaitRemaining -= s.now.Sub(t.arrivedAt)
 			s.submit(t, again)
 		}
-		s.at(s.now.Add(t.service), func() {
-			if over {
+		s.schedule(s.now.Add(t.service), func() {
+			if finished {
 				return
 			}
-			over = true
-			delete(s.live, slot)
+			finished = true
+			delete(s.running, slot)
 			t.ended = s.now
 			slot.Release(s.now.Sub(began))
 		})
@@ -137,14 +137,14 @@
 		t.refused = true
 		return
 	}
-	s.at(s.now.Add(max(req.WaitRemaining, 0)), func() {
+	s.schedule(s.now.Add(max(req.WaitRemaining, 0)), func() {
 		if !req.Long && s.queue.remove(w) {
 			t.refused = true
 		}
 	})
 }
 
-// workload describes the requests that arrive in one run.
+// load describes the requests that arrive in one run.
 type load struct {
 	slots   int
 	seconds int
@@ -153,15 +153,15 @@
 	rho func(second float64) float64
 	// stragglerShare is the share of stragglers. With ownShape their shape
 	// differs from that of short requests.
-	share  float64
-	marked bool
-	wait   time.Duration
-	fixed  bool // all short requests take the same time
+	stragglerShare float64
+	ownShape       bool
+	wait           time.Duration
+	fixed          bool // all short requests take the same time
 }
 
 func (l load) simulate(p Policy, seed uint64) *simulation {
 	s := newSimulation(p, l.slots, seed)
-	mean := unit.Seconds() * (1 - l.share + l.share*slowness)
+	mean := shortServiceTime.Seconds() * (1 - l.stragglerShare + l.stragglerShare*stragglerFactor)
 	start := s.now
 	var next func()
 	next = func() {
@@ -171,23 +171,23 @@
 		}
 		s.arrive(l)
 		rate := l.rho(second) * float64(l.slots) / mean
-		s.at(s.now.Add(time.Duration(s.random.ExpFloat64()/rate*float64(time.Second))), next)
+		s.schedule(s.now.Add(time.Duration(s.random.ExpFloat64()/rate*float64(time.Second))), next)
 	}
-	s.at(s.now, next)
+	s.schedule(s.now, next)
 	s.run()
 	return s
 }
 
 func (s *simulation) arrive(l load) {
-	t := &task{short: true, arrive: s.now, service: unit, wait: l.wait}
+	t := &task{short: true, arrivedAt: s.now, service: shortServiceTime, wait: l.wait}
 	if !l.fixed {
-		t.service = time.Duration(float64(unit) * s.random.ExpFloat64())
+		t.service = time.Duration(float64(shortServiceTime) * s.random.ExpFloat64())
 	}
 	shape := uint64(1 + s.random.IntN(20))
-	if s.random.Float64() < l.share {
+	if s.random.Float64() < l.stragglerShare {
 		t.short = false
-		t.service = unit * slowness
-		if l.marked {
+		t.service = shortServiceTime * stragglerFactor
+		if l.ownShape {
 			shape = 100
 		}
 	}
@@ -204,7 +204,7 @@
 }
 
 // waitStats are the figures of one run, without its warm-up.
-type waits struct {
+type waitStats struct {
 	p99 float64 // ms, wait of short requests
 	// slowdown is the mean and slowdown95 the 95th percentile of the time from
 	// arrival to end of stragglers, divided by their service time.
@@ -212,12 +212,12 @@
 	refused              float64
 }
 
-func (s *simulation) waits(skip time.Duration) (r waits) {
+func (s *simulation) waitStats(skip time.Duration) (r waitStats) {
 	var short, slow []float64
 	n := 0
-	first := s.tasks[0].arrive.Add(skip)
+	first := s.tasks[0].arrivedAt.Add(skip)
 	for _, t := range s.tasks {
-		if t.arrive.Before(first) {
+		if t.arrivedAt.Before(first) {
 			continue
 		}
 		n++
@@ -225,9 +225,9 @@
 		case t.refused:
 			r.refused++
 		case t.short:
-			short = append(short, float64(t.ended.Sub(t.arrive)-t.service)/1e6)
+			short = append(short, float64(t.ended.Sub(t.arrivedAt)-t.service)/1e6)
 		default:
-			slow = append(slow, float64(t.ended.Sub(t.arrive))/float64(t.service))
+			slow = append(slow, float64(t.ended.Sub(t.arrivedAt))/float64(t.service))
 		}
 	}
 	for _, x := range slow {
@@ -256,7 +256,7 @@
 			for _, rho := range []float64{0.5, 0.7} {
 				for _, fixed := range []bool{true, false} {
 					t.Run(fmt.Sprintf("slots=%d/known=%v/load=%.1f/fixed=%v", slots, marked, rho, fixed), func(t *testing.T) {
-						l := load{slots: slots, seconds: 100, share: stragglers, marked: marked, wait: 10 * time.Second, fixed: fixed}
+						l := load{slots: slots, seconds: 100, stragglerShare: stragglerShare, ownShape: marked, wait: 10 * time.Second, fixed: fixed}
 						l.rho = func(float64) float64 { return rho }
 						l.compareWaits(t)
 					})
@@ -269,7 +269,7 @@
 func (l load) compareWaits(t *testing.T) {
 	var p99 []float64
 	for _, p := range policies {
-		w := l.simulate(p.make(), 7).waits(20 * time.Second)
+		w := l.simulate(p.make(), 7).waitStats(20 * time.Second)
 		p99 = append(p99, w.p99)
 		t.Logf("%-8s p99 wait of short work %6.1f ms, stragglers' slowdown mean %.2f p95 %.2f, refused %.2f %%", p.name, w.p99, w.slowdown, w.slowdown95, 100*w.refused)
 	}
@@ -282,10 +282,10 @@
 // because their wait has already ended.
 func TestPeakBenchmark(t *testing.T) {
 	for _, slots := range []int{3, 5} {
-		for _, share := range []float64{0, stragglers} {
+		for _, share := range []float64{0, stragglerShare} {
 			for _, wait := range []time.Duration{100 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second} {
 				t.Run(fmt.Sprintf("slots=%d/stragglers=%.2f/wait=%v", slots, share, wait), func(t *testing.T) {
-					l := load{slots: slots, seconds: 60, share: share, marked: true, wait: wait}
+					l := load{slots: slots, seconds: 60, stragglerShare: share, ownShape: true, wait: wait}
 					l.rho = func(second float64) float64 {
 						if second >= peakStart && second < peakEnd {
 							return 5
@@ -313,7 +313,7 @@
 			continue
 		}
 		assert.Assert(t, recovery < 1)
-		assert.Assert(t, share > 0.95 || l.share > 0)
+		assert.Assert(t, share > 0.95 || l.stragglerShare > 0)
 	}
 }
 
@@ -322,24 +322,24 @@
 // returns the recovery time in seconds after the peak: from then on, no tenth of
 // a second has a median wait above ten times the service time of short requests.
 func (s *simulation) peak(l load) (share, recovery float64) {
-	start := s.tasks[0].arrive
+	start := s.tasks[0].arrivedAt
 	windows := map[int][]float64{}
 	for _, t := range s.tasks {
-		second := t.arrive.Sub(start).Seconds()
+		second := t.arrivedAt.Sub(start).Seconds()
 		if !t.short || t.refused || second < peakStart {
 			continue
 		}
 		if second < peakEnd {
-			if t.ended.Sub(t.arrive) <= t.wait {
+			if t.ended.Sub(t.arrivedAt) <= t.wait {
 				share += t.service.Seconds()
 			}
 			continue
 		}
 		n := int((second - peakEnd) * 10)
-		windows[n] = append(windows[n], t.started.Sub(t.arrive).Seconds())
+		windows[n] = append(windows[n], t.started.Sub(t.arrivedAt).Seconds())
 	}
 	for n, waits := range windows {
-		if quantile(waits, 0.5) > 10*unit.Seconds() {
+		if quantile(waits, 0.5) > 10*shortServiceTime.Seconds() {
 			recovery = max(recovery, float64(n+1)/10)
 		}
 	}
--- a/admission/slot.go
+++ b/admission/slot.go
@@ -18,7 +18,7 @@
 	started  bool
 	// expectedLong says whether the request is expected to run long. It is
 	// set when the request is considered for a start.
-	long bool
+	expectedLong bool
 	// predicted is the predicted wait in seconds, before its correction by
 	// the waits of earlier requests.
 	predicted float64
@@ -32,15 +32,15 @@
 
 // Slot is the permission to run one request on the upstream.
 type Slot struct {
-	queue *Queue
-	work  *waiter
-	once  sync.Once
-	yield chan struct{}
+	queue      *Queue
+	work       *waiter
+	once       sync.Once
+	preemption chan struct{}
 
 	// The fields below are guarded by the queue's lock.
-	since     time.Time
-	keep      bool
-	preempted bool
+	startedAt          time.Time
+	preemptionDisabled bool
+	preempted          bool
 	// expectedLong says whether the request was expected to run long when it
 	// started, long whether it counts as long now.
 	expectedLong bool
@@ -49,7 +49,7 @@
 
 // Yield returns a channel that is closed when the queue preempts the request:
 // the holder has to stop it, release the slot and run it again later.
-func (s *Slot) Yield() <-chan struct{} { return s.yield }
+func (s *Slot) Yield() <-chan struct{} { return s.preemption }
 
 // Keep excludes the request from preemption because it can no longer be run
 // again, for example because a part of its answer has been sent to the caller.
@@ -57,7 +57,7 @@
 func (s *Slot) Keep() bool {
 	s.queue.mu.Lock()
 	defer s.queue.mu.Unlock()
-	s.keep = true
+	s.preemptionDisabled = true
 	return !s.preempted
 }
 
@@ -71,10 +71,10 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := q.clock.Now()
-	q.board.drop(s)
+	q.upstream.removeRunning(s)
 	if elapsed >= 0 {
-		q.policy.observe(&q.board, s, elapsed, now)
-		q.board.learned.observe(s.work.key(), elapsed, now)
+		q.policy.observe(&q.upstream, s, elapsed, now)
+		q.upstream.estimator.observe(s.work.kind(), elapsed, now)
 	}
 	q.dispatch(now)
 }
@@ -82,8 +82,8 @@
 // dispatch starts waiting requests while slots are free, then preempts a
 // running one if the policy wants that.
 func (q *Queue) dispatch(now time.Time) {
-	for len(q.board.running) < q.board.slots {
-		w := q.take(now)
+	for len(q.upstream.running) < q.upstream.slots {
+		w := q.nextWaiter(now)
 		if w == nil {
 			break
 		}
@@ -95,34 +95,34 @@
 
 // nextWaiter removes and returns the request to start next, batches of open
 // transactions first; nil if none may start.
-func (q *Queue) take(now time.Time) *waiter {
+func (q *Queue) nextWaiter(now time.Time) *waiter {
 	for e := q.continuations.Front(); e != nil; e = e.Next() {
 		w := e.Value.(*waiter)
-		if q.policy.allows(&q.board, w, now) {
+		if q.policy.mayStart(&q.upstream, w, now) {
 			q.continuations.Remove(e)
 			return w
 		}
 	}
-	return q.policy.next(&q.board, now)
+	return q.policy.next(&q.upstream, now)
 }
 
 func (q *Queue) start(w *waiter, now time.Time) {
 	w.started = true
-	s := &Slot{queue: q, work: w, since: now, yield: make(chan struct{}), expectedLong: w.long, long: w.long}
-	q.board.running = append(q.board.running, s)
+	s := &Slot{queue: q, work: w, startedAt: now, preemption: make(chan struct{}), expectedLong: w.expectedLong, long: w.expectedLong}
+	q.upstream.running = append(q.upstream.running, s)
 	w.grant(s)
 }
 
 // preempt asks the policy for a request to preempt if all slots are in use and
 // others wait. It arms the clock for the time at which to ask again.
 func (q *Queue) preempt(now time.Time) {
-	if len(q.board.running) < q.board.slots || q.waiting == 0 {
+	if len(q.upstream.running) < q.upstream.slots || q.waiting == 0 {
 		return
 	}
-	victim, next := q.policy.victim(&q.board, now)
+	victim, next := q.policy.victim(&q.upstream, now)
 	if victim != nil {
 		victim.preempted = true
-		close(victim.yield)
+		close(victim.preemption)
 	}
 	if !next.IsZero() {
 		q.clock.Arm(next)
@@ -131,10 +131,10 @@
 
 // wallClock is the clock of a queue outside of simulations.
 type wallClock struct {
-	mu    sync.Mutex // guards at
-	at    time.Time
-	timer *time.Timer
-	tick  func()
+	mu       sync.Mutex // guards armedFor
+	armedFor time.Time
+	timer    *time.Timer
+	tick     func()
 }
 
 func newWallClock(tick func()) *wallClock { return &wallClock{tick: tick} }
@@ -144,10 +144,10 @@
 func (c *wallClock) Arm(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.at.IsZero() && !c.at.After(at) {
+	if !c.armedFor.IsZero() && !c.armedFor.After(at) {
 		return
 	}
-	c.at = at
+	c.armedFor = at
 	if c.timer != nil {
 		c.timer.Stop()
 	}
@@ -156,7 +156,7 @@
 
 func (c *wallClock) fire() {
 	c.mu.Lock()
-	c.at = time.Time{}
+	c.armedFor = time.Time{}
 	c.mu.Unlock()
 	c.tick()
 }
--- a/admission/stop.go
+++ b/admission/stop.go
@@ -7,8 +7,8 @@
 
 // longAfter returns the service time in seconds from which a request counts as
 // long; infinity before any has finished.
-func (b *board) longAfter(now time.Time) float64 {
-	median := b.learned.median.seconds(now)
+func (u *upstreamState) longAfter(now time.Time) float64 {
+	median := u.estimator.distribution.medianSeconds(now)
 	if median == 0 {
 		return math.Inf(1)
 	}
@@ -17,33 +17,33 @@
 
 // stopAfter returns the running time in seconds after which a request may be
 // preempted; infinity before any has finished.
-func (b *board) stopAfter(now time.Time) float64 {
-	median := b.learned.median.seconds(now)
+func (u *upstreamState) stopAfter(now time.Time) float64 {
+	median := u.estimator.distribution.medianSeconds(now)
 	if median == 0 {
 		return math.Inf(1)
 	}
-	return max(stopFactor*median, minStop.Seconds())
+	return max(stopFactor*median, minStopAfter.Seconds())
 }
 
 // expectedLong reports whether waiting requests of k with the expected service
 // time s count as long.
-func (b *board) long(k bucketKey, s service, now time.Time) bool {
-	return k.long || s.typical > b.longAfter(now)
+func (u *upstreamState) expectedLong(k bucketKey, s serviceTime, now time.Time) bool {
+	return k.preempted || s.typical > u.longAfter(now)
 }
 
 // isLong reports whether a running request counts as long, because it was
 // expected to be or because it has run for longAfter already.
-func (b *board) isLong(s *Slot, now time.Time) bool {
+func (u *upstreamState) isLong(s *Slot, now time.Time) bool {
 	if !s.long {
-		s.long = now.Sub(s.since) >= seconds(b.longAfter(now))
+		s.long = now.Sub(s.startedAt) >= toDuration(u.longAfter(now))
 	}
 	return s.long
 }
 
-func (b *board) runningLong(now time.Time) int {
+func (u *upstreamState) runningLong(now time.Time) int {
 	n := 0
-	for _, s := range b.running {
-		if b.isLong(s, now) {
+	for _, s := range u.running {
+		if u.isLong(s, now) {
 			n++
 		}
 	}
@@ -54,21 +54,21 @@
 // long requests use more slots than their limit and short ones wait. The request
 // runs again later as a long one. A request is preempted at most once, and the
 // one that started last first, so that little work is lost.
-func (p *Shortest) victim(b *board, now time.Time) (*Slot, time.Time) {
-	limit := b.stopAfter(now)
-	if math.IsInf(limit, 1) || !p.shortWaits(b, now) || !p.stopPays(limit, now) {
+func (p *Shortest) victim(u *upstreamState, now time.Time) (*Slot, time.Time) {
+	limit := u.stopAfter(now)
+	if math.IsInf(limit, 1) || !p.shortWorkWaits(u, now) || !p.stopPays(limit, now) {
 		return nil, time.Time{}
 	}
-	youngest, next := p.stoppable(b, now)
+	youngest, next := p.stoppable(u, now)
 	if youngest == nil {
 		return nil, next
 	}
-	if due := youngest.since.Add(seconds(limit)); due.After(now) {
+	if due := youngest.startedAt.Add(toDuration(limit)); due.After(now) {
 		return nil, due
 	}
-	running := b.runningLong(now)
-	cheap := now.Sub(youngest.since).Seconds() < stopAge*limit
-	if running > b.hardLimit() || cheap && running > p.softLimit(b, now) {
+	longCount := u.runningLong(now)
+	young := now.Sub(youngest.startedAt).Seconds() < stopAgeFactor*limit
+	if longCount > u.hardLimit() || young && longCount > p.softLimit(u, now) {
 		return youngest, next
 	}
 	return nil, next
@@ -78,25 +78,25 @@
 // to run for much longer. Otherwise a preemption only wastes the work done.
 func (p *Shortest) stopPays(limit float64, now time.Time) bool {
 	mean := p.overrunMean(now)
-	return mean == 0 || mean >= stopGain*limit
+	return mean == 0 || mean >= minOverrunFactor*limit
 }
 
 // stoppable returns the request that started last of those that count as long
 // although they were expected to be short, and the time at which the next
 // running request will count as long. It returns neither while another
 // preemption is in progress.
-func (p *Shortest) stoppable(b *board, now time.Time) (youngest *Slot, next time.Time) {
-	for _, s := range b.running {
+func (p *Shortest) stoppable(u *upstreamState, now time.Time) (youngest *Slot, next time.Time) {
+	for _, s := range u.running {
 		if s.preempted {
 			return nil, time.Time{}
 		}
-		if s.keep || s.expectedLong || !s.work.Preemptible {
+		if s.preemptionDisabled || s.expectedLong || !s.work.Preemptible {
 			continue
 		}
 		switch {
-		case !b.isLong(s, now):
-			next = earlier(next, s.since.Add(seconds(b.longAfter(now))))
-		case youngest == nil || s.since.After(youngest.since):
+		case !u.isLong(s, now):
+			next = earlier(next, s.startedAt.Add(toDuration(u.longAfter(now))))
+		case youngest == nil || s.startedAt.After(youngest.startedAt):
 			youngest = s
 		}
 	}
@@ -111,9 +111,9 @@
 	return a
 }
 
-func (p *Shortest) shortWaits(b *board, now time.Time) bool {
+func (p *Shortest) shortWorkWaits(u *upstreamState, now time.Time) bool {
 	for _, bk := range p.buckets {
-		if !b.long(bk.key, p.expect(b, bk.key, now), now) {
+		if !u.expectedLong(bk.key, p.expectedTime(u, bk.key, now), now) {
 			return true
 		}
 	}
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -30,7 +30,7 @@
 	tries    int
 	excluded []string
 	// answerBegun is true once the sink has taken a part of an answer.
-	answering bool
+	answerBegun bool
 	// refusal is the last refusal by an owner; nil if there was none.
 	refusal error
 	// unknown is the last unknown outcome of a try; nil if there was none.
@@ -38,7 +38,7 @@
 	// chosen is the router's choice for the last try, routed what the router
 	// was asked.
 	chosen route.Choice
-	asked  route.Request
+	routed route.Request
 }
 
 func newAttempt(s *Session, request Request, requestID string, c class.Class, sink upstream.Sink) *attempt {
@@ -49,7 +49,7 @@
 		request:   request,
 		requestID: requestID,
 		class:     c,
-		mode:      s.entry.modeOf(request.Texts),
+		mode:      s.entry.initialMode(request.Texts),
 		sink:      sink,
 		started:   started,
 		deadline:  started.Add(c.Wait),
@@ -66,8 +66,8 @@
 			a.entry.budget.succeeded()
 			return done, nil
 		}
-		if !a.again(ctx, err, changed) {
-			return exchange.Done{}, a.entry.final(a.cause(ctx, err), a.class.Name, a.class.Wait)
+		if !a.prepareRetry(ctx, err, changed) {
+			return exchange.Done{}, a.entry.finalError(a.callerError(ctx, err), a.class.Name, a.class.Wait)
 		}
 		a.tries++
 	}
@@ -77,7 +77,7 @@
 // Once a try had an unknown outcome, a later refusal does not prove that the
 // request did not run. Otherwise an owner's refusal is more specific than the
 // router's error that no upstream is left.
-func (a *attempt) cause(ctx context.Context, err error) error {
+func (a *attempt) callerError(ctx context.Context, err error) error {
 	if a.unknown != nil && reasonOf(err) != fault.ReasonAlreadyCommitted {
 		return a.unknown
 	}
@@ -109,17 +109,17 @@
 }
 
 func (a *attempt) choose(view *registry.View) error {
-	a.asked = route.Request{
+	a.routed = route.Request{
 		View:      view,
 		Database:  a.session.database,
 		Class:     a.class,
 		Mode:      a.mode,
 		Min:       a.session.position,
-		SinceMin:  time.Since(a.session.positionAt),
+		SinceMin:  time.Since(a.session.positionTime),
 		Remaining: a.remaining(),
 		Exclude:   a.excluded,
 	}
-	choice, err := a.entry.router.Choose(a.asked)
+	choice, err := a.entry.router.Choose(a.routed)
 	a.chosen = choice
 	return err
 }
@@ -130,7 +130,7 @@
 	if delay <= 0 {
 		return nil
 	}
-	a.asked.SinceMin += delay
+	a.routed.SinceMin += delay
 	if !pause.For(ctx, delay) {
 		return cancelled()
 	}
@@ -160,7 +160,7 @@
 	defer a.session.setStream(nil)
 	a.entry.router.Started(name)
 	begun := time.Now()
-	done, err := stream.Run(ctx, a.batch(), a.pass)
+	done, err := stream.Run(ctx, a.batch(), a.forward)
 	if err != nil {
 		a.entry.router.Finished(name, 0)
 		_ = stream.Close() // the exchange has ended with the error
@@ -179,18 +179,18 @@
 }
 
 // forward passes a part of the answer to the caller's sink.
-func (a *attempt) pass(chunk []byte) error {
-	a.answering = true
+func (a *attempt) forward(chunk []byte) error {
+	a.answerBegun = true
 	return a.sink(chunk)
 }
 
 // callerHasAnswer reports whether the caller has received a part of an answer. It
 // first drops the parts that are still buffered, if Request.Restart can.
-func (a *attempt) answered() bool {
-	if a.answering && a.request.Restart != nil && a.request.Restart() {
-		a.answering = false
+func (a *attempt) callerHasAnswer() bool {
+	if a.answerBegun && a.request.Restart != nil && a.request.Restart() {
+		a.answerBegun = false
 	}
-	return a.answering
+	return a.answerBegun
 }
 
 func (a *attempt) batch() upstream.Batch {
--- a/entry/budget.go
+++ b/entry/budget.go
@@ -39,7 +39,7 @@
 }
 
 // takeRetry takes one retry from the budget. It returns false if there is none.
-func (b *budget) take(now time.Time) bool {
+func (b *budget) takeRetry(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.credit < successesPerRetry && now.Sub(b.refilled) >= budgetRefill {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -46,7 +46,7 @@
 	log       *slog.Logger
 	metrics   tally.Scope
 	budget    budget
-	writes    learnedTexts
+	writes    knownWrites
 }
 
 // New returns an Entry without sessions. Its retry budget starts with minRetries.
@@ -98,7 +98,7 @@
 func (e *Entry) Open(database, caller string) (*Session, error) {
 	view, err := e.view()
 	if err != nil {
-		return nil, e.final(err, "", 0)
+		return nil, e.finalError(err, "", 0)
 	}
 	if _, known := view.Groups[database]; !known {
 		return nil, &UnknownDatabase{Database: database}
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -35,12 +35,12 @@
 	reply, err := s.Run(t.Context(), request("select write()"), discard)
 	assert.NilError(t, err)
 	assert.Assert(t, reply.Token != "")
-	assert.DeepEqual(t, h.gateway.seen(), []string{"u2", "u1"})
+	assert.DeepEqual(t, h.gateway.triedUpstreams(), []string{"u2", "u1"})
 	assert.Equal(t, h.gateway.try(1).batch.Mode, upstream.ModeWrite)
 	assert.Equal(t, h.counter("retried_total", fault.ReasonReadOnly), int64(1))
 	_, err = s.Run(t.Context(), request("select write()"), discard)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, h.gateway.seen(), []string{"u2", "u1", "u1"})
+	assert.DeepEqual(t, h.gateway.triedUpstreams(), []string{"u2", "u1", "u1"})
 }
 
 func TestReadOnlyRefusalOfTheRerunIsFinal(t *testing.T) {
@@ -49,7 +49,7 @@
 	})
 	_, err := h.session(t, "report").Run(t.Context(), request("select write()"), discard)
 	assert.Equal(t, reasonOf(t, err), fault.ReasonReadOnly)
-	assert.Equal(t, len(h.gateway.seen()), 2)
+	assert.Equal(t, len(h.gateway.triedUpstreams()), 2)
 }
 
 func TestUnknownOutcomeOfAWriteWithoutRequestIDIsNeverRetried(t *testing.T) {
@@ -57,7 +57,7 @@
 	_, err := h.session(t, "current").Run(t.Context(), request("insert into t"), discard)
 	var unknown *fault.OutcomeUnknown
 	assert.Assert(t, errors.As(err, &unknown))
-	assert.Equal(t, len(h.gateway.seen()), 1)
+	assert.Equal(t, len(h.gateway.triedUpstreams()), 1)
 }
 
 func TestUnknownOutcomeOfAWriteWithRequestIDIsRetriedUnderTheSameID(t *testing.T) {
@@ -125,14 +125,14 @@
 			})
 			_, err := h.session(t, "report").Run(t.Context(), request("select 1"), discard)
 			assert.Equal(t, err != nil, c.begun)
-			seen := h.gateway.seen()
-			assert.Equal(t, len(seen), c.tries)
-			assert.Assert(t, len(seen) == 1 || seen[0] != seen[1])
+			tried := h.gateway.triedUpstreams()
+			assert.Equal(t, len(tried), c.tries)
+			assert.Assert(t, len(tried) == 1 || tried[0] != tried[1])
 		})
 	}
 }
 
-func TestTokenRoamsAndALaggingReplicaIsNotUsed(t *testing.T) {
+func TestTokenWorksOnAnotherProxyAndALaggingReplicaIsNotUsed(t *testing.T) {
 	behaviour := func(_ context.Context, t try, _ upstream.Sink) (exchange.Done, error) {
 		if t.upstream == "u1" {
 			return committed(50)
@@ -150,14 +150,14 @@
 	assert.NilError(t, s.SetToken(reply.Token))
 	_, err = s.Run(t.Context(), request("select 1"), discard)
 	assert.NilError(t, err)
-	seen := reader.gateway.seen()
-	assert.Equal(t, seen[len(seen)-1], "u1")
-	for i := range seen {
+	tried := reader.gateway.triedUpstreams()
+	assert.Equal(t, tried[len(tried)-1], "u1")
+	for i := range tried {
 		assert.Equal(t, reader.gateway.try(i).open.MinPosition, upstream.Position{Term: 1, Offset: 50})
 	}
 }
 
-func TestForeignTokenIsRefused(t *testing.T) {
+func TestTokenOfAnotherDatabaseIsRefused(t *testing.T) {
 	h := newHarness(t, nil)
 	err := h.session(t, "report").SetToken(tokens(t).Sign("stock", upstream.Position{Term: 1, Offset: 1}))
 	var bad *fault.BadToken
@@ -179,7 +179,7 @@
 		_, err := s.Run(t.Context(), request("select 1"), discard)
 		assert.Assert(t, err != nil)
 	}
-	amplification := float64(len(h.gateway.seen())) / requests
+	amplification := float64(len(h.gateway.triedUpstreams())) / requests
 	t.Logf("amplification %.3f", amplification)
 	assert.Assert(t, amplification < 1.1)
 	assert.Assert(t, h.counter("refused_total", fault.ReasonRetryBudget) > 0)
@@ -191,7 +191,7 @@
 	})
 	_, err := h.session(t, "current").Run(t.Context(), request("insert into t"), discard)
 	assert.Equal(t, reasonOf(t, err), fault.ReasonQueueFull)
-	assert.Equal(t, len(h.gateway.seen()), 1)
+	assert.Equal(t, len(h.gateway.triedUpstreams()), 1)
 	assert.Equal(t, h.counter("refused_total", fault.ReasonQueueFull), int64(1))
 }
 
@@ -206,7 +206,7 @@
 	})
 	h.directory.replace(view(3, "u2"))
 	group.Wait()
-	assert.DeepEqual(t, h.gateway.seen(), []string{"u2"})
+	assert.DeepEqual(t, h.gateway.triedUpstreams(), []string{"u2"})
 }
 
 func TestNoPrimaryWithinTheWaitIsNotRun(t *testing.T) {
@@ -214,7 +214,7 @@
 	h.directory.replace(view(2, ""))
 	_, err := h.session(t, "quick").Run(t.Context(), request("insert into t"), discard)
 	assert.Equal(t, reasonOf(t, err), fault.ReasonNoUpstream)
-	assert.Equal(t, len(h.gateway.seen()), 0)
+	assert.Equal(t, len(h.gateway.triedUpstreams()), 0)
 }
 
 func TestConfigBehindIsRetriedWithTheNewVersion(t *testing.T) {
@@ -228,7 +228,7 @@
 	}
 	_, err := h.session(t, "current").Run(t.Context(), request("insert into t"), discard)
 	assert.NilError(t, err)
-	assert.Equal(t, len(h.gateway.seen()), 2)
+	assert.Equal(t, len(h.gateway.triedUpstreams()), 2)
 	assert.Equal(t, h.counter("retried_total", fault.ReasonConfigBehind), int64(1))
 }
 
@@ -252,7 +252,7 @@
 	fail = true
 	_, err := s.Run(t.Context(), request("insert into t"), discard)
 	assert.Equal(t, reasonOf(t, err), fault.ReasonUpstreamUnavailable)
-	assert.Equal(t, len(h.gateway.seen()), 4)
+	assert.Equal(t, len(h.gateway.triedUpstreams()), 4)
 	assert.Assert(t, !s.InTransaction())
 	<-h.gateway.try(0).stream.closed
 }
@@ -274,7 +274,7 @@
 		return notRun(fault.ReasonCancelled)
 	})
 	s := h.session(t, "current")
-	err := runAndCancel(t, s, func() bool { return len(h.gateway.seen()) == 1 })
+	err := runAndCancel(t, s, func() bool { return len(h.gateway.triedUpstreams()) == 1 })
 	assert.Equal(t, reasonOf(t, err), fault.ReasonCancelled)
 	h.directory.replace(view(2, ""))
 	begun := time.Now()
--- a/entry/fake_test.go
+++ b/entry/fake_test.go
@@ -51,7 +51,7 @@
 }
 
 func view(version uint64, primary string) *registry.View {
-	of := func(name, dataCentre string) registry.Upstream {
+	newUpstream := func(name, dataCentre string) registry.Upstream {
 		return registry.Upstream{Name: name, Database: "shop", DataCentre: dataCentre, Owner: "p", OwnerAddress: name}
 	}
 	return &registry.View{
@@ -61,7 +61,7 @@
 			"quick":   {Name: "quick", Wait: 50 * time.Millisecond},
 			"report":  {Name: "report", Wait: 2 * time.Second, Age: time.Minute},
 		},
-		Upstreams: map[string]registry.Upstream{"u1": of("u1", "visayas"), "u2": of("u2", "luzon"), "u3": of("u3", "mindanao")},
+		Upstreams: map[string]registry.Upstream{"u1": newUpstream("u1", "visayas"), "u2": newUpstream("u2", "luzon"), "u3": newUpstream("u3", "mindanao")},
 		Groups:    map[string]registry.Group{"shop": {Database: "shop", Primary: primary}},
 	}
 }
@@ -90,7 +90,7 @@
 }
 
 // triedUpstreams returns the names of the upstreams that were tried, in order.
-func (g *gateway) seen() []string {
+func (g *gateway) triedUpstreams() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var names []string
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -23,70 +23,70 @@
 )
 
 // retryAction is what to do before a refused request is sent again.
-type remedy int
+type retryAction int
 
 const (
-	giveUp remedy = iota
+	noRetry retryAction = iota
 	// retryElsewhere sends a read to another upstream at once. A write is
 	// sent again after the backoff or a change of the registry.
-	elsewhere
+	retryElsewhere
 	// retryReadElsewhere sends a read to another upstream at once. A write
 	// is not retried.
-	elsewhereOnly
+	retryReadElsewhere
 	// retryAfterChange sends the request again after the backoff or a change
 	// of the registry.
-	afterChange
+	retryAfterChange
 )
 
 // retryActions lists the refusals after which a request is sent again. They all
 // come as fault.NotRun, so the refused try had no effect.
-var remedies = map[fault.Reason]remedy{
-	fault.ReasonNotOwner:            afterChange,
-	fault.ReasonConfigBehind:        afterChange,
-	fault.ReasonNotPrimary:          afterChange,
-	fault.ReasonNoUpstream:          afterChange,
-	fault.ReasonUnconfirmedPosition: afterChange,
-	fault.ReasonLeaseLapsed:         elsewhere,
-	fault.ReasonLeaving:             elsewhere,
-	fault.ReasonShutdown:            elsewhere,
-	fault.ReasonUpstreamUnavailable: elsewhere,
-	fault.ReasonSilentConnection:    elsewhere,
-	fault.ReasonStale:               elsewhere,
-	fault.ReasonQueueFull:           elsewhereOnly,
-	fault.ReasonWaitExceeded:        elsewhereOnly,
+var retryActions = map[fault.Reason]retryAction{
+	fault.ReasonNotOwner:            retryAfterChange,
+	fault.ReasonConfigBehind:        retryAfterChange,
+	fault.ReasonNotPrimary:          retryAfterChange,
+	fault.ReasonNoUpstream:          retryAfterChange,
+	fault.ReasonUnconfirmedPosition: retryAfterChange,
+	fault.ReasonLeaseLapsed:         retryElsewhere,
+	fault.ReasonLeaving:             retryElsewhere,
+	fault.ReasonShutdown:            retryElsewhere,
+	fault.ReasonUpstreamUnavailable: retryElsewhere,
+	fault.ReasonSilentConnection:    retryElsewhere,
+	fault.ReasonStale:               retryElsewhere,
+	fault.ReasonQueueFull:           retryReadElsewhere,
+	fault.ReasonWaitExceeded:        retryReadElsewhere,
 }
 
 // prepareRetry reports whether the request is to be tried again after err. It
 // returns when the next try may start.
-func (a *attempt) again(ctx context.Context, err error, changed <-chan struct{}) bool {
+func (a *attempt) prepareRetry(ctx context.Context, err error, changed <-chan struct{}) bool {
 	if ctx.Err() != nil {
 		return false
 	}
 	var notRun *fault.NotRun
 	if errors.As(err, &notRun) {
-		return a.againNotRun(ctx, notRun, changed)
+		return a.prepareRetryNotRun(ctx, notRun, changed)
 	}
 	var unknown *fault.OutcomeUnknown
 	if errors.As(err, &unknown) {
-		return a.againUnknown(ctx, unknown, changed)
+		return a.prepareRetryUnknown(ctx, unknown, changed)
 	}
 	return false
 }
 
 // prepareRetryNotRun is prepareRetry after a refusal that proves that the request
 // did not run.
-func (a *attempt) againNotRun(ctx context.Context, refused *fault.NotRun, changed <-chan struct{}) bool {
-	if a.answered() {
+func (a *attempt) prepareRetryNotRun(ctx context.Context, refused *fault.NotRun, changed <-chan struct{}) bool {
+	if a.callerHasAnswer() {
 		// The caller has received a part of an answer; another answer must
 		// not follow it.
 		return false
 	}
 	if refused.Reason == fault.ReasonReadOnly {
-		return a.reroute()
+		return a.retryAsWrite()
 	}
-	a.learn(refused.Reason)
-	next := remedies[refused.Reason]
-	if next == giveUp {
+	a.updateRouter(refused.Reason)
+	action := retryActions[refused.Reason]
+	if action == noRetry {
 		return false
 	}
 	nothingSent := a.chosen.Upstream.Name == ""
@@ -98,25 +98,25 @@
 	// that the last try did not run and cannot run later.
 	read := a.mode == upstream.ModeRead
 	switch {
-	case next == elsewhere && read, next == elsewhereOnly && read:
+	case action == retryElsewhere && read, action == retryReadElsewhere && read:
 		a.exclude()
-		return a.spend(refused.Reason)
-	case next == elsewhere, next == afterChange:
-		return a.afterChange(ctx, refused.Reason, changed)
+		return a.spendRetry(refused.Reason)
+	case action == retryElsewhere, action == retryAfterChange:
+		return a.awaitRetry(ctx, refused.Reason, changed)
 	}
 	return false
 }
 
 // updateRouter tells the router what a refusal implies for the chosen upstream:
 // that it is stale or unavailable.
-func (a *attempt) learn(reason fault.Reason) {
+func (a *attempt) updateRouter(reason fault.Reason) {
 	name := a.chosen.Upstream.Name
 	if name == "" {
 		return
 	}
 	switch reason {
 	case fault.ReasonStale:
-		a.entry.router.Stale(name, a.asked)
+		a.entry.router.Stale(name, a.routed)
 	case fault.ReasonUpstreamUnavailable, fault.ReasonLeaseLapsed, fault.ReasonShutdown, fault.ReasonSilentConnection:
 		a.entry.router.Unavailable(name)
 	}
@@ -124,9 +124,9 @@
 
 // prepareRetryUnknown is prepareRetry after an unknown outcome. The request is
 // retried only if running it twice does no harm.
-func (a *attempt) againUnknown(ctx context.Context, unknown *fault.OutcomeUnknown, changed <-chan struct{}) bool {
+func (a *attempt) prepareRetryUnknown(ctx context.Context, unknown *fault.OutcomeUnknown, changed <-chan struct{}) bool {
 	a.unknown = unknown
-	if a.answered() {
+	if a.callerHasAnswer() {
 		// The caller has received a part of an answer; another answer must
 		// not follow it.
 		return false
@@ -136,13 +136,13 @@
 		// nothing and a second run does no harm.
 		a.entry.router.Unavailable(a.chosen.Upstream.Name)
 		a.exclude()
-		return a.spend(unknown.Reason)
+		return a.spendRetry(unknown.Reason)
 	}
 	if a.requestID != "" {
 		// The request id makes the write idempotent: because of its row in the
 		// ledger, a second run returns the first one's answer or prevents the
 		// first one from committing.
-		return a.afterChange(ctx, unknown.Reason, changed)
+		return a.awaitRetry(ctx, unknown.Reason, changed)
 	}
 	return false
 }
@@ -150,13 +150,13 @@
 // retryAsWrite switches a batch that the server refused in read mode to write
 // mode, so that it is sent to the primary. The refusal proves that nothing was
 // written. This happens at most once, because the mode is write from then on.
-func (a *attempt) reroute() bool {
+func (a *attempt) retryAsWrite() bool {
 	if a.mode != upstream.ModeRead || declaredReadOnly(a.request.Texts) {
 		return false
 	}
 	a.mode = upstream.ModeWrite
 	a.excluded = nil
-	a.entry.writes.learn(a.request.Texts)
+	a.entry.writes.add(a.request.Texts)
 	metrics.Retried(a.entry.metrics, a.class.Name, fault.ReasonReadOnly)
 	return a.remaining() > 0
 }
@@ -172,31 +172,31 @@
 	if refused.Reason != fault.ReasonNoUpstream {
 		return false
 	}
-	if remedies[reasonOf(a.refusal)] == elsewhereOnly {
+	if retryActions[reasonOf(a.refusal)] == retryReadElsewhere {
 		// All upstreams that could serve the request are overloaded. Another
 		// try would only add to their load.
 		return false
 	}
 	if len(a.excluded) == 0 {
-		return a.pause(ctx, a.remaining(), changed) && a.remaining() > 0
+		return a.awaitChange(ctx, a.remaining(), changed) && a.remaining() > 0
 	}
 	a.excluded = nil
-	return a.afterChange(ctx, reasonOf(a.refusal), changed)
+	return a.awaitRetry(ctx, reasonOf(a.refusal), changed)
 }
 
 // awaitRetry waits for the backoff, or until the registry changes, and reports
 // whether the request may be retried. A retry after a change costs no retry of the
 // budget, because there are few changes within the wait of a request.
-func (a *attempt) afterChange(ctx context.Context, reason fault.Reason, changed <-chan struct{}) bool {
+func (a *attempt) awaitRetry(ctx context.Context, reason fault.Reason, changed <-chan struct{}) bool {
 	wait := min(a.backoff(), a.remaining())
-	if a.pause(ctx, wait, changed) {
+	if a.awaitChange(ctx, wait, changed) {
 		metrics.Retried(a.entry.metrics, a.class.Name, reason)
 		return a.remaining() > 0
 	}
 	if ctx.Err() != nil {
 		return false
 	}
-	return a.spend(reason)
+	return a.spendRetry(reason)
 }
 
 // backoff returns a random time up to a limit that doubles with every try (full
@@ -208,7 +208,7 @@
 
 // awaitChange waits until the registry changes. It returns false if the wait ends
 // or ctx is cancelled first.
-func (a *attempt) pause(ctx context.Context, wait time.Duration, changed <-chan struct{}) bool {
+func (a *attempt) awaitChange(ctx context.Context, wait time.Duration, changed <-chan struct{}) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -223,11 +223,11 @@
 
 // spendRetry takes one retry from the budget. It returns false if the budget is
 // empty or the request's wait has ended.
-func (a *attempt) spend(reason fault.Reason) bool {
+func (a *attempt) spendRetry(reason fault.Reason) bool {
 	if a.remaining() == 0 {
 		return false
 	}
-	if !a.entry.budget.take(time.Now()) {
+	if !a.entry.budget.takeRetry(time.Now()) {
 		metrics.Refused(a.entry.metrics, a.class.Name, fault.ReasonRetryBudget)
 		return false
 	}
@@ -259,7 +259,7 @@
 
 // finalError counts an error that goes to the caller. It randomizes RetryAfter, so
 // that callers do not all retry at the same moment.
-func (e *Entry) final(err error, class string, wait time.Duration) error {
+func (e *Entry) finalError(err error, class string, wait time.Duration) error {
 	metrics.Refused(e.metrics, class, reasonOf(err))
 	var notRun *fault.NotRun
 	if !errors.As(err, &notRun) {
--- a/entry/session.go
+++ b/entry/session.go
@@ -23,11 +23,11 @@
 	className string
 	requestID string
 
-	position    upstream.Position
-	positionAt  time.Time // when position was last raised
-	pinned      exchange.Stream
-	pinnedMode  upstream.Mode
-	pinnedClass string
+	position     upstream.Position
+	positionTime time.Time // when position last advanced
+	pinned       exchange.Stream
+	pinnedMode   upstream.Mode
+	pinnedClass  string
 
 	mu        sync.Mutex
 	running   exchange.Stream    // guarded by mu: the exchange of the batch in flight
@@ -42,7 +42,7 @@
 func (s *Session) SetClass(name string) error {
 	view, err := s.entry.view()
 	if err != nil {
-		return s.entry.final(err, "", 0)
+		return s.entry.finalError(err, "", 0)
 	}
 	if _, err := classOf(view, name); err != nil {
 		return err
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	s.raise(position)
+	s.advance(position)
 	return nil
 }
 
@@ -105,13 +105,13 @@
 func (s *Session) InTransaction() bool { return s.pinned != nil }
 
 // advance moves the session's position forward; an earlier position has no effect.
-func (s *Session) raise(position upstream.Position) {
+func (s *Session) advance(position upstream.Position) {
 	merged := session.Merge(s.position, position)
 	if merged == s.position {
 		return
 	}
 	s.position = merged
-	s.positionAt = time.Now()
+	s.positionTime = time.Now()
 }
 
 // Run executes one batch and passes its answer to sink in order. The answer is
@@ -134,11 +134,11 @@
 	requestID := s.takeRequestID(request)
 	view, err := s.entry.view()
 	if err != nil {
-		return Reply{}, s.entry.final(err, s.className, 0)
+		return Reply{}, s.entry.finalError(err, s.className, 0)
 	}
 	c, err := classOf(view, s.className)
 	if err != nil {
-		return Reply{}, s.entry.final(err, s.className, 0)
+		return Reply{}, s.entry.finalError(err, s.className, 0)
 	}
 	a := newAttempt(s, request, requestID, c, sink)
 	done, err := a.run(ctx)
@@ -168,7 +168,7 @@
 	done, err := s.pinned.Run(ctx, batch, sink)
 	if err != nil {
 		s.unpin()
-		return Reply{}, s.entry.final(err, s.pinnedClass, 0)
+		return Reply{}, s.entry.finalError(err, s.pinnedClass, 0)
 	}
 	s.entry.router.Observe(done.Hint)
 	if done.State == upstream.StateIdle {
@@ -197,7 +197,7 @@
 func (s *Session) finish(done exchange.Done) Reply {
 	reply := Reply{State: done.State, DatabaseError: done.DatabaseError}
 	if done.Commit != (upstream.Position{}) {
-		s.raise(done.Commit)
+		s.advance(done.Commit)
 		reply.Token = s.Token()
 	}
 	return reply
--- a/entry/text.go
+++ b/entry/text.go
@@ -31,24 +31,24 @@
 
 // maxBeginLength is the length in bytes up to which texts are compared with
 // readOnlyBegins.
-const longestBegin = 80
+const maxBeginLength = 80
 
 // initialMode returns the mode in which a batch of statements is tried first: write
 // mode if one of them is not a read by its text or has been refused in read mode
 // before. A batch that executes nothing runs in read mode.
-func (e *Entry) modeOf(texts []string) upstream.Mode {
+func (e *Entry) initialMode(texts []string) upstream.Mode {
 	for _, text := range texts {
-		if !startsRead(text) || e.writes.known(text) {
+		if !isReadStatement(text) || e.writes.contains(text) {
 			return upstream.ModeWrite
 		}
 	}
 	return upstream.ModeRead
 }
 
-func startsRead(text string) bool {
+func isReadStatement(text string) bool {
 	keyword, rest := FirstKeyword(text)
 	if readKeywords[keyword] {
-		return !hasFollowing(rest)
+		return !hasStatementAfter(rest)
 	}
 	if keyword == "BEGIN" || keyword == "START" {
 		return isReadOnlyBegin(text)
@@ -59,13 +59,13 @@
 // hasStatementAfter reports whether a semicolon is followed by more text, which may
 // be another statement. A semicolon in a string or comment counts too; the batch
 // is then sent to the primary without need.
-func hasFollowing(rest string) bool {
+func hasStatementAfter(rest string) bool {
 	_, after, found := strings.Cut(rest, ";")
 	return found && strings.TrimSpace(after) != ""
 }
 
 func isReadOnlyBegin(text string) bool {
-	if len(text) > longestBegin {
+	if len(text) > maxBeginLength {
 		return false
 	}
 	plain := strings.TrimRight(text, "; \t\r\n")
@@ -125,23 +125,23 @@
 }
 
 // knownWritesSize is the number of texts that knownWrites can hold.
-const learnedSize = 8192
+const knownWritesSize = 8192
 
 // knownWrites is a set of hashes of texts that were refused in read mode. Each
 // hash has one place in the array; a later text with the same place replaces an
 // earlier one. It is safe for concurrent use.
-type learnedTexts struct {
-	slots [learnedSize]atomic.Uint64
+type knownWrites struct {
+	hashes [knownWritesSize]atomic.Uint64
 }
 
-func (l *learnedTexts) learn(texts []string) {
+func (k *knownWrites) add(texts []string) {
 	for _, text := range texts {
 		hash := xxhash.Sum64String(text)
-		l.slots[hash%learnedSize].Store(hash)
+		k.hashes[hash%knownWritesSize].Store(hash)
 	}
 }
 
-func (l *learnedTexts) known(text string) bool {
+func (k *knownWrites) contains(text string) bool {
 	hash := xxhash.Sum64String(text)
-	return l.slots[hash%learnedSize].Load() == hash
+	return k.hashes[hash%knownWritesSize].Load() == hash
 }
--- a/pool/liveness.go
+++ b/pool/liveness.go
@@ -15,13 +15,13 @@
 
 // ProbeResult is the state of a connection that has delivered nothing for a
 // while, as found by Pool.Probe.
-type Verdict int
+type ProbeResult int
 
 // Results of a probe.
 const (
 	// Unreachable means that no new connection could be opened, or that the
 	// upstream did not answer a status query on it.
-	Unreachable Verdict = iota + 1
+	Unreachable ProbeResult = iota + 1
 	// Working means that the server is still executing the batch.
 	Working
 	// Idle means that the server executes nothing for the connection: the
@@ -35,7 +35,7 @@
 // Probe asks the upstream over a new connection whether it still executes the
 // batch of suspect, a connection that has delivered nothing for a while. The new
 // connection is one of ReservedConnections, so it can be opened at the limit too.
-func (p *Pool) Probe(ctx context.Context, suspect upstream.Conn) Verdict {
+func (p *Pool) Probe(ctx context.Context, suspect upstream.Conn) ProbeResult {
 	conn, err := p.opts.Dialer.Dial(ctx, p.opts.Address, p.opts.Database)
 	if err != nil {
 		return Unreachable
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -22,7 +22,7 @@
 const (
 	// ReservedConnections is how many of the connections that an upstream
 	// accepts are left to status queries, watches, probes and promotion.
-	Reserved = 4
+	ReservedConnections = 4
 	// maxDials bounds the dials in progress, so that the loss of all
 	// connections does not flood an upstream that has just recovered.
 	maxDials = 2
@@ -30,8 +30,8 @@
 	defaultDialTimeout = 2 * time.Second
 	defaultIdleTimeout = 5 * time.Minute
 	resetTimeout       = 2 * time.Second
-	minRedial          = 20 * time.Millisecond
-	maxRedial          = 500 * time.Millisecond
+	minRedialBackoff   = 20 * time.Millisecond
+	maxRedialBackoff   = 500 * time.Millisecond
 	// maxWaiting bounds the calls of Get that wait for a connection.
 	maxWaiting = 1024
 )
@@ -63,29 +63,29 @@
 	tasks   conc.WaitGroup
 
 	// mu guards all fields below.
-	mu       sync.Mutex
-	limit    int
-	open     int // connections that exist, idle or in use
-	dialing  int
-	idle     []idleConn // the most recently used last
-	waiting  []*request
-	failures int
-	redialAt time.Time
-	closed   bool
+	mu           sync.Mutex
+	limit        int
+	open         int // connections that exist, idle or in use
+	dialing      int
+	idle         []idleConn // the most recently used last
+	waiting      []*request
+	dialFailures int
+	redialAt     time.Time
+	closed       bool
 }
 
 type idleConn struct {
-	conn  upstream.Conn
-	since time.Time
+	conn      upstream.Conn
+	idleSince time.Time
 }
 
 // request is a call of Get that waits for a connection.
 type request struct {
-	answer chan answer // buffered; gets one result
+	result chan getResult // buffered; gets one result
 }
 
 // getResult is what a waiting call of Get returns.
-type answer struct {
+type getResult struct {
 	conn upstream.Conn
 	err  error
 }
@@ -100,33 +100,33 @@
 	}
 	p := &Pool{opts: o, log: logging.For(o.Log, "pool"), metrics: metrics.OrNoop(o.Metrics)}
 	p.ctx, p.stop = context.WithCancel(context.Background())
-	p.limit = usable(o.MaxConnections)
+	p.limit = usableConnections(o.MaxConnections)
 	p.tasks.Go(p.trimLoop)
 	return p
 }
 
-func usable(maxConnections int) int { return max(1, maxConnections-Reserved) }
+func usableConnections(maxConnections int) int { return max(1, maxConnections-ReservedConnections) }
 
 // SetLimit sets how many connections the upstream accepts. The pool uses
 // ReservedConnections fewer, and at least 1.
 func (p *Pool) SetLimit(maxConnections int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limit = usable(maxConnections)
-	p.dial()
+	p.limit = usableConnections(maxConnections)
+	p.startDials()
 }
 
 // TryGet returns an idle connection if there is one.
 func (p *Pool) TryGet() (upstream.Conn, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := p.takeIdle()
+	c := p.popIdle()
 	return c, c != nil
 }
 
 // popIdle removes and returns the idle connection that was used last; nil if
 // there is none. It closes broken ones.
-func (p *Pool) takeIdle() upstream.Conn {
+func (p *Pool) popIdle() upstream.Conn {
 	for len(p.idle) > 0 {
 		last := len(p.idle) - 1
 		c := p.idle[last].conn
@@ -134,13 +134,13 @@
 		if !c.Broken() {
 			return c
 		}
-		p.lose(c)
+		p.removeConn(c)
 	}
 	return nil
 }
 
 // removeConn removes a connection from the count and closes it.
-func (p *Pool) lose(c upstream.Conn) {
+func (p *Pool) removeConn(c upstream.Conn) {
 	p.open--
 	go func() { _ = c.Close() }()
 }
@@ -149,12 +149,12 @@
 // Errors: *fault.NotRun with ReasonUpstreamUnavailable, ReasonQueueFull or
 // ReasonCancelled.
 func (p *Pool) Get(ctx context.Context) (upstream.Conn, error) {
-	r, c, err := p.ask()
+	r, c, err := p.requestConn()
 	if r == nil {
 		return c, err
 	}
 	select {
-	case a := <-r.answer:
+	case a := <-r.result:
 		return a.conn, a.err
 	case <-ctx.Done():
 		return nil, p.abandon(r)
@@ -162,24 +162,24 @@
 }
 
 // requestConn returns an idle connection, or else the request that waits for one.
-func (p *Pool) ask() (*request, upstream.Conn, error) {
+func (p *Pool) requestConn() (*request, upstream.Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return nil, nil, unavailable("the pool is closed", 0)
 	}
-	if c := p.takeIdle(); c != nil {
+	if c := p.popIdle(); c != nil {
 		return nil, c, nil
 	}
 	if len(p.waiting) >= maxWaiting {
 		return nil, nil, &fault.NotRun{Reason: fault.ReasonQueueFull, Detail: "too many requests wait for a connection"}
 	}
-	if pause := time.Until(p.redialAt); pause > 0 && p.open == 0 {
-		return nil, nil, unavailable("the upstream cannot be reached", pause)
+	if backoff := time.Until(p.redialAt); backoff > 0 && p.open == 0 {
+		return nil, nil, unavailable("the upstream cannot be reached", backoff)
 	}
-	r := &request{answer: make(chan answer, 1)}
+	r := &request{result: make(chan getResult, 1)}
 	p.waiting = append(p.waiting, r)
-	p.dial()
+	p.startDials()
 	return r, nil, nil
 }
 
@@ -199,7 +199,7 @@
 	}
 	p.mu.Unlock()
 	select {
-	case a := <-r.answer:
+	case a := <-r.result:
 		if a.conn != nil {
 			p.Put(a.conn, false)
 		}
@@ -210,7 +210,7 @@
 
 // startDials starts as many dials as the waiting requests need and the limits
 // allow. It starts none during the backoff after a failed dial.
-func (p *Pool) dial() {
+func (p *Pool) startDials() {
 	if p.closed || time.Now().Before(p.redialAt) {
 		return
 	}
@@ -232,10 +232,10 @@
 		return
 	}
 	p.metrics.Counter("dialed_total").Inc(1)
-	p.failures = 0
+	p.dialFailures = 0
 	p.open++
-	p.offer(c)
-	p.dial()
+	p.deliver(c)
+	p.startDials()
 }
 
 // dialFailed starts the backoff until the next dial. If no connection exists and
@@ -243,22 +243,22 @@
 // fail.
 func (p *Pool) dialFailed(err error) {
 	p.metrics.Counter("dial_failed_total").Inc(1)
-	pause := min(minRedial<<min(p.failures, 10), maxRedial)
-	pause = pause/2 + rand.N(pause)
-	p.failures++
-	p.redialAt = time.Now().Add(pause)
+	backoff := min(minRedialBackoff<<min(p.dialFailures, 10), maxRedialBackoff)
+	backoff = backoff/2 + rand.N(backoff)
+	p.dialFailures++
+	p.redialAt = time.Now().Add(backoff)
 	p.log.Warn("dialing the upstream failed", "address", p.opts.Address, "err", err)
-	time.AfterFunc(pause, p.redial)
+	time.AfterFunc(backoff, p.redial)
 	if p.open > 0 || p.dialing > 0 {
 		return
 	}
-	p.failAll(unavailable("the upstream refuses connections: "+err.Error(), pause))
+	p.failWaiting(unavailable("the upstream refuses connections: "+err.Error(), backoff))
 }
 
 // failWaiting returns err to all waiting requests.
-func (p *Pool) failAll(err error) {
+func (p *Pool) failWaiting(err error) {
 	for _, r := range p.waiting {
-		r.answer <- answer{err: err}
+		r.result <- getResult{err: err}
 	}
 	p.waiting = nil
 }
@@ -266,24 +266,24 @@
 func (p *Pool) redial() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dial()
+	p.startDials()
 }
 
 // deliver passes a clean connection to the request that has waited longest, or
 // keeps it idle. It closes the connection if the pool is closed or over its limit.
-func (p *Pool) offer(c upstream.Conn) {
+func (p *Pool) deliver(c upstream.Conn) {
 	if p.closed || p.open > p.limit {
-		p.lose(c)
-		p.dial()
+		p.removeConn(c)
+		p.startDials()
 		return
 	}
 	if len(p.waiting) == 0 {
-		p.idle = append(p.idle, idleConn{conn: c, since: time.Now()})
+		p.idle = append(p.idle, idleConn{conn: c, idleSince: time.Now()})
 		return
 	}
 	r := p.waiting[0]
 	p.waiting = p.waiting[1:]
-	r.answer <- answer{conn: c}
+	r.result <- getResult{conn: c}
 }
 
 // Put returns a connection to the pool. No transaction may be open on it. dirty
@@ -300,7 +300,7 @@
 		p.tasks.Go(func() { p.reset(c) })
 		return
 	}
-	p.offer(c)
+	p.deliver(c)
 }
 
 func (p *Pool) reset(c upstream.Conn) {
@@ -317,8 +317,8 @@
 func (p *Pool) Discard(c upstream.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lose(c)
-	p.dial()
+	p.removeConn(c)
+	p.startDials()
 }
 
 // Size returns how many connections exist and how many of them are idle.
@@ -341,7 +341,7 @@
 	p.mu.Lock()
 	p.closed = true
 	p.closeIdle()
-	p.failAll(unavailable("the pool is closed", 0))
+	p.failWaiting(unavailable("the pool is closed", 0))
 	p.mu.Unlock()
 	p.stop()
 	p.tasks.Wait()
@@ -356,7 +356,7 @@
 
 func (p *Pool) closeIdle() {
 	for _, i := range p.idle {
-		p.lose(i.conn)
+		p.removeConn(i.conn)
 	}
 	p.idle = nil
 }
@@ -378,8 +378,8 @@
 func (p *Pool) trim() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for len(p.idle) > 0 && time.Since(p.idle[0].since) >= p.opts.IdleTimeout {
-		p.lose(p.idle[0].conn)
+	for len(p.idle) > 0 && time.Since(p.idle[0].idleSince) >= p.opts.IdleTimeout {
+		p.removeConn(p.idle[0].conn)
 		p.idle = p.idle[1:]
 	}
 }
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -16,14 +16,14 @@
 
 // dialer is a fake Dialer. Its connections have no server.
 type dialer struct {
-	mu      sync.Mutex // guards all fields
-	refuse  bool
-	dialing int
-	peak    int
-	dialed  int
-	failed  int
-	hold    chan struct{} // if set, dials wait until it is closed
-	resets  int
+	mu         sync.Mutex // guards all fields
+	refuse     bool
+	dialing    int
+	maxDialing int
+	dialed     int
+	failed     int
+	release    chan struct{} // if set, dials wait until it is closed
+	resets     int
 	// resetFails makes Reset fail, as it does within a transaction.
 	resetFails bool
 }
@@ -39,12 +39,12 @@
 func (d *dialer) Dial(ctx context.Context, _, _ string) (upstream.Conn, error) {
 	d.mu.Lock()
 	d.dialing++
-	d.peak = max(d.peak, d.dialing)
-	hold := d.hold
+	d.maxDialing = max(d.maxDialing, d.dialing)
+	release := d.release
 	d.mu.Unlock()
-	if hold != nil {
+	if release != nil {
 		select {
-		case <-hold:
+		case <-release:
 		case <-ctx.Done():
 		}
 	}
@@ -65,14 +65,14 @@
 	return c.broken
 }
 
-func (c *conn) set(f func()) {
+func (c *conn) locked(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f()
 }
 
 func (c *conn) Close() error {
-	c.set(func() { c.closed = true })
+	c.locked(func() { c.closed = true })
 	return nil
 }
 
@@ -86,7 +86,7 @@
 	return nil
 }
 
-func (d *dialer) get(f func() int) int {
+func (d *dialer) locked(f func() int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return f()
@@ -94,7 +94,7 @@
 
 func newPool(t *testing.T, d *dialer, limit int) *Pool {
 	t.Helper()
-	p := New(Options{Dialer: d, MaxConnections: limit + Reserved})
+	p := New(Options{Dialer: d, MaxConnections: limit + ReservedConnections})
 	t.Cleanup(p.Close)
 	return p
 }
@@ -126,10 +126,10 @@
 		conns = append(conns, get(t, p))
 	}
 	d.mu.Lock()
-	d.hold = make(chan struct{})
+	d.release = make(chan struct{})
 	d.mu.Unlock()
 	for _, c := range conns {
-		c.set(func() { c.broken = true })
+		c.locked(func() { c.broken = true })
 		p.Put(c, false)
 	}
 	done := make(chan error, 20)
@@ -139,12 +139,12 @@
 			done <- err
 		}()
 	}
-	eventually(t, "two dials", func() bool { return d.get(func() int { return d.dialing }) >= 2 })
-	close(d.hold)
+	eventually(t, "two dials", func() bool { return d.locked(func() int { return d.dialing }) >= 2 })
+	close(d.release)
 	for range 20 {
 		assert.NilError(t, <-done)
 	}
-	assert.Equal(t, d.get(func() int { return d.peak }), 2)
+	assert.Equal(t, d.locked(func() int { return d.maxDialing }), 2)
 }
 
 // Guards against a busy loop of dials to an upstream that refuses connections,
@@ -158,7 +158,7 @@
 		assert.Assert(t, errors.As(err, &notRun))
 		assert.Equal(t, notRun.Reason, fault.ReasonUpstreamUnavailable)
 	}
-	assert.Assert(t, d.get(func() int { return d.failed }) < 50)
+	assert.Assert(t, d.locked(func() int { return d.failed }) < 50)
 	d.mu.Lock()
 	d.refuse = false
 	d.mu.Unlock()
@@ -186,7 +186,7 @@
 		defer p.mu.Unlock()
 		return len(p.waiting) == 1
 	})
-	assert.Equal(t, d.get(func() int { return d.dialed }), 2)
+	assert.Equal(t, d.locked(func() int { return d.dialed }), 2)
 	p.Put(first, false)
 	assert.Equal(t, (<-got).(*conn), first)
 	cancel()
@@ -199,11 +199,11 @@
 	p := newPool(t, d, 1)
 	c := get(t, p)
 	p.Put(c, false)
-	assert.Equal(t, d.get(func() int { return d.resets }), 0)
+	assert.Equal(t, d.locked(func() int { return d.resets }), 0)
 	c = get(t, p)
 	p.Put(c, true)
 	assert.Equal(t, get(t, p), c)
-	assert.Equal(t, d.get(func() int { return d.resets }), 1)
+	assert.Equal(t, d.locked(func() int { return d.resets }), 1)
 	d.mu.Lock()
 	d.resetFails = true
 	d.mu.Unlock()
@@ -213,7 +213,7 @@
 
 // Guards against connections that are lost when Get is cancelled just as it
 // receives one.
-func TestAbandonedGetLosesNoConnection(t *testing.T) {
+func TestCancelledGetLeaksNoConnection(t *testing.T) {
 	d := &dialer{}
 	p := newPool(t, d, 1)
 	for range 200 {
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -25,12 +25,12 @@
 }
 
 var (
-	first  = key(1, "first-secret-0123")
-	second = key(2, "second-secret-012")
-	at     = upstream.Position{Term: 4, Offset: 99}
+	first    = key(1, "first-secret-0123")
+	second   = key(2, "second-secret-012")
+	position = upstream.Position{Term: 4, Offset: 99}
 )
 
-func refused(t testing.TB, err error) {
+func assertBadToken(t testing.TB, err error) {
 	t.Helper()
 	var bad *fault.BadToken
 	assert.Assert(t, errors.As(err, &bad), "%v", err)
@@ -53,41 +53,41 @@
 
 func TestTokenOfAnotherDatabaseIsRefused(t *testing.T) {
 	s := signer(t, first)
-	_, err := s.Verify("stock", s.Sign("shop", at))
-	refused(t, err)
+	_, err := s.Verify("stock", s.Sign("shop", position))
+	assertBadToken(t, err)
 }
 
 func TestEveryDamagedByteIsRefused(t *testing.T) {
 	s := signer(t, first)
-	token, err := base64.RawURLEncoding.DecodeString(s.Sign("shop", at))
+	token, err := base64.RawURLEncoding.DecodeString(s.Sign("shop", position))
 	assert.NilError(t, err)
 	for i := range token {
 		token[i] ^= 1
 		_, err := s.Verify("shop", base64.RawURLEncoding.EncodeToString(token))
-		refused(t, err)
+		assertBadToken(t, err)
 		token[i] ^= 1
 	}
 	_, err = s.Verify("shop", base64.RawURLEncoding.EncodeToString(token[:len(token)-1]))
-	refused(t, err)
+	assertBadToken(t, err)
 }
 
 func TestForgedTokenIsRefused(t *testing.T) {
 	forger := signer(t, key(1, "another-secret-01"))
-	_, err := signer(t, first).Verify("shop", forger.Sign("shop", at))
-	refused(t, err)
+	_, err := signer(t, first).Verify("shop", forger.Sign("shop", position))
+	assertBadToken(t, err)
 	for _, text := range []string{"", "x", "!!!", "AAAA"} {
 		_, err := signer(t, first).Verify("shop", text)
-		refused(t, err)
+		assertBadToken(t, err)
 	}
 }
 
 func TestRotatedKeyIsAcceptedUntilItIsRemoved(t *testing.T) {
-	old := signer(t, first).Sign("shop", at)
+	old := signer(t, first).Sign("shop", position)
 	got, err := signer(t, second, first).Verify("shop", old)
 	assert.NilError(t, err)
-	assert.Equal(t, got, at)
+	assert.Equal(t, got, position)
 	_, err = signer(t, second).Verify("shop", old)
-	refused(t, err)
+	assertBadToken(t, err)
 }
 
 func TestWeakOrRepeatedKeysAreRefused(t *testing.T) {
