--- a/admission/admission.go
+++ b/admission/admission.go
@@ -45,7 +45,8 @@
 	Metrics tally.Scope
 	// Slots is how many requests may run at a time; less than 1 means 1.
 	Slots int
-	// Policy decides the order of the waiting requests; nil means Shortest.
+	// Policy decides the order of the waiting requests; nil means that those
+	// expected to be short go first.
 	Policy Policy
 	// Bounds limits what may wait; zero fields take the defaults.
 	Bounds Bounds
@@ -76,8 +77,8 @@
 	// Continuation marks a batch of an open transaction. It starts before
 	// new requests and is never refused because of its wait.
 	Continuation bool
-	// Preemptible is true if the request can be stopped and run again until
-	// Slot.Keep is called.
+	// Preemptible is true if the request can be stopped and run again, until
+	// the holder of its slot excludes it from preemption.
 	Preemptible bool
 	// Long marks a request that was preempted because it ran long. It is
 	// never refused because of its wait, since its first run started in time.
--- a/admission/slot.go
+++ b/admission/slot.go
@@ -23,7 +23,8 @@
 	// the waits of earlier requests.
 	predicted float64
 	element   *list.Element
-	// bucket is the bucket of the policy Shortest that holds the waiter.
+	// bucket is the bucket of the policy that holds the waiter, if the policy
+	// has buckets.
 	bucket *bucket
 	// grant is called with the slot once the request may start. The queue's
 	// lock is held, so it must not block.
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -1,6 +1,7 @@
 // Package pool is the connection pool of an owner to one upstream. It limits the
-// rate of dials and the number of connections to what the upstream accepts, and
-// resets connections with session state before they are used again.
+// dials in progress, backs off after failed dials, keeps to the number of
+// connections that the upstream accepts, and resets connections with session state
+// before they are used again.
 package pool
 
 import (
