--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -13,7 +13,9 @@
 	"lovageslip/upstream"
 )
 
-// attempt is the way of one request through as many tries as it takes.
+// attempt runs one request outside of an open transaction: it chooses an upstream,
+// sends the batch to its owner and retries until the request is answered or no
+// retry is allowed.
 type attempt struct {
 	session   *Session
 	entry     *Entry
@@ -27,15 +29,16 @@
 
 	tries    int
 	excluded []string
-	// answering is true once the sink has taken a part of an answer.
-	answering bool
-	// refusal is the last refusal by an owner.
+	// answerBegun is true once the sink has taken a part of an answer.
+	answerBegun bool
+	// refusal is the last refusal by an owner; nil if there was none.
 	refusal error
 	// unknown is the last unknown outcome of a try; nil if there was none.
 	unknown error
-	// chosen and asked describe the last try.
+	// chosen is the router's choice for the last try, routed what the router
+	// was asked.
 	chosen route.Choice
-	asked  route.Request
+	routed route.Request
 }
 
 func newAttempt(s *Session, request Request, requestID string, c class.Class, sink upstream.Sink) *attempt {
@@ -46,7 +49,7 @@
 		request:   request,
 		requestID: requestID,
 		class:     c,
-		mode:      s.entry.modeOf(request.Texts),
+		mode:      s.entry.initialMode(request.Texts),
 		sink:      sink,
 		started:   started,
 		deadline:  started.Add(c.Wait),
@@ -55,24 +58,26 @@
 
 func (a *attempt) run(ctx context.Context) (exchange.Done, error) {
 	for {
-		// The channel is taken before the view, so that no change is missed.
+		// The channel is read before the view, so that no change between the
+		// two is missed.
 		changed := a.entry.directory.Changed()
 		done, err := a.try(ctx)
 		if err == nil {
 			a.entry.budget.succeeded()
 			return done, nil
 		}
-		if !a.again(ctx, err, changed) {
-			return exchange.Done{}, a.entry.final(a.cause(ctx, err), a.class.Name, a.class.Wait)
+		if !a.prepareRetry(ctx, err, changed) {
+			return exchange.Done{}, a.entry.finalError(a.callerError(ctx, err), a.class.Name, a.class.Wait)
 		}
 		a.tries++
 	}
 }
 
-// cause returns the error for the caller. Once a try had an unknown outcome, a
-// later refusal does not prove that the request did not run. Otherwise an
-// owner's refusal says more than the fact that no upstream is left.
-func (a *attempt) cause(ctx context.Context, err error) error {
+// callerError returns the error for the caller, given the error of the last try.
+// Once a try had an unknown outcome, a later refusal does not prove that the
+// request did not run. Otherwise an owner's refusal is more specific than the
+// router's error that no upstream is left.
+func (a *attempt) callerError(ctx context.Context, err error) error {
 	if a.unknown != nil && reasonOf(err) != fault.ReasonAlreadyCommitted {
 		return a.unknown
 	}
@@ -104,27 +109,28 @@
 }
 
 func (a *attempt) choose(view *registry.View) error {
-	a.asked = route.Request{
+	a.routed = route.Request{
 		View:      view,
 		Database:  a.session.database,
 		Class:     a.class,
 		Mode:      a.mode,
 		Min:       a.session.position,
-		SinceMin:  time.Since(a.session.positionAt),
+		SinceMin:  time.Since(a.session.positionTime),
 		Remaining: a.remaining(),
 		Exclude:   a.excluded,
 	}
-	choice, err := a.entry.router.Choose(a.asked)
+	choice, err := a.entry.router.Choose(a.routed)
 	a.chosen = choice
 	return err
 }
 
-// sleep waits for a replica to catch up with the session.
+// sleep waits for the delay after which the chosen replica is expected to include
+// the session's position.
 func (a *attempt) sleep(ctx context.Context, delay time.Duration) error {
 	if delay <= 0 {
 		return nil
 	}
-	a.asked.SinceMin += delay
+	a.routed.SinceMin += delay
 	if !pause.For(ctx, delay) {
 		return cancelled()
 	}
@@ -146,15 +152,15 @@
 	}
 }
 
-// exchange runs the batch and keeps the exchange if it leaves a transaction
-// open.
+// exchange runs the batch. If it leaves a transaction open, the stream is pinned
+// to the session.
 func (a *attempt) exchange(ctx context.Context, stream exchange.Stream) (exchange.Done, error) {
 	name := a.chosen.Upstream.Name
 	a.session.setStream(stream)
 	defer a.session.setStream(nil)
 	a.entry.router.Started(name)
 	begun := time.Now()
-	done, err := stream.Run(ctx, a.batch(), a.pass)
+	done, err := stream.Run(ctx, a.batch(), a.forward)
 	if err != nil {
 		a.entry.router.Finished(name, 0)
 		_ = stream.Close() // the exchange has ended with the error
@@ -172,25 +178,27 @@
 	return done, nil
 }
 
-func (a *attempt) pass(chunk []byte) error {
-	a.answering = true
+// forward passes a part of the answer to the caller's sink.
+func (a *attempt) forward(chunk []byte) error {
+	a.answerBegun = true
 	return a.sink(chunk)
 }
 
-// answered reports whether the caller has seen a part of an answer. Parts that
-// are still held for the caller are dropped.
-func (a *attempt) answered() bool {
-	if a.answering && a.request.Restart != nil && a.request.Restart() {
-		a.answering = false
+// callerHasAnswer reports whether the caller has received a part of an answer. It
+// first drops the parts that are still buffered, if Request.Restart can.
+func (a *attempt) callerHasAnswer() bool {
+	if a.answerBegun && a.request.Restart != nil && a.request.Restart() {
+		a.answerBegun = false
 	}
-	return a.answering
+	return a.answerBegun
 }
 
 func (a *attempt) batch() upstream.Batch {
 	batch := batchOf(a.request, a.mode)
 	batch.RequestID = a.requestID
 	if a.mode == upstream.ModeRead {
-		// A read needs no ledger row; the server refuses writes in this mode.
+		// A read needs no row in the ledger of request ids, because the server
+		// refuses writes in read mode.
 		batch.RequestID = ""
 	}
 	batch.Waited = time.Since(a.started)
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -14,17 +14,17 @@
 	"lovageslip/upstream"
 )
 
-// dialer makes connections in memory.
+// dialer is a fake Dialer. Its connections have no server.
 type dialer struct {
-	mu      sync.Mutex // guards all fields
-	refuse  bool
-	dialing int
-	peak    int
-	dialed  int
-	failed  int
-	hold    chan struct{}
-	resets  int
-	// resetFails makes Reset fail, as within a transaction.
+	mu         sync.Mutex // guards all fields
+	refuse     bool
+	dialing    int
+	maxDialing int
+	dialed     int
+	failed     int
+	release    chan struct{} // if set, dials wait until it is closed
+	resets     int
+	// resetFails makes Reset fail, as it does within a transaction.
 	resetFails bool
 }
 
@@ -39,12 +39,12 @@
 func (d *dialer) Dial(ctx context.Context, _, _ string) (upstream.Conn, error) {
 	d.mu.Lock()
 	d.dialing++
-	d.peak = max(d.peak, d.dialing)
-	hold := d.hold
+	d.maxDialing = max(d.maxDialing, d.dialing)
+	release := d.release
 	d.mu.Unlock()
-	if hold != nil {
+	if release != nil {
 		select {
-		case <-hold:
+		case <-release:
 		case <-ctx.Done():
 		}
 	}
@@ -65,14 +65,14 @@
 	return c.broken
 }
 
-func (c *conn) set(f func()) {
+func (c *conn) locked(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f()
 }
 
 func (c *conn) Close() error {
-	c.set(func() { c.closed = true })
+	c.locked(func() { c.closed = true })
 	return nil
 }
 
@@ -86,7 +86,7 @@
 	return nil
 }
 
-func (d *dialer) get(f func() int) int {
+func (d *dialer) locked(f func() int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return f()
@@ -94,7 +94,7 @@
 
 func newPool(t *testing.T, d *dialer, limit int) *Pool {
 	t.Helper()
-	p := New(Options{Dialer: d, MaxConnections: limit + Reserved})
+	p := New(Options{Dialer: d, MaxConnections: limit + ReservedConnections})
 	t.Cleanup(p.Close)
 	return p
 }
@@ -116,7 +116,8 @@
 	return c.(*conn)
 }
 
-// Guards against a flood of dials when all connections are lost at once.
+// Guards against more than two dials at a time after all connections were lost
+// at once.
 func TestDialPacingAfterLossOfAllConnections(t *testing.T) {
 	d := &dialer{}
 	p := newPool(t, d, 20)
@@ -125,10 +126,10 @@
 		conns = append(conns, get(t, p))
 	}
 	d.mu.Lock()
-	d.hold = make(chan struct{})
+	d.release = make(chan struct{})
 	d.mu.Unlock()
 	for _, c := range conns {
-		c.set(func() { c.broken = true })
+		c.locked(func() { c.broken = true })
 		p.Put(c, false)
 	}
 	done := make(chan error, 20)
@@ -138,16 +139,16 @@
 			done <- err
 		}()
 	}
-	eventually(t, "two dials", func() bool { return d.get(func() int { return d.dialing }) >= 2 })
-	close(d.hold)
+	eventually(t, "two dials", func() bool { return d.locked(func() int { return d.dialing }) >= 2 })
+	close(d.release)
 	for range 20 {
 		assert.NilError(t, <-done)
 	}
-	assert.Equal(t, d.get(func() int { return d.peak }), 2)
+	assert.Equal(t, d.locked(func() int { return d.maxDialing }), 2)
 }
 
-// Guards against a busy loop of dials to a server that refuses, and against
-// requests that wait for one.
+// Guards against a busy loop of dials to an upstream that refuses connections,
+// and against requests that wait for it instead of failing.
 func TestRefusedDialsFailFastAndBackOff(t *testing.T) {
 	d := &dialer{refuse: true}
 	p := newPool(t, d, 10)
@@ -157,7 +158,7 @@
 		assert.Assert(t, errors.As(err, &notRun))
 		assert.Equal(t, notRun.Reason, fault.ReasonUpstreamUnavailable)
 	}
-	assert.Assert(t, d.get(func() int { return d.failed }) < 50)
+	assert.Assert(t, d.locked(func() int { return d.failed }) < 50)
 	d.mu.Lock()
 	d.refuse = false
 	d.mu.Unlock()
@@ -167,7 +168,8 @@
 	})
 }
 
-// Guards against more connections than the upstream accepts.
+// Guards against a pool that opens more connections than its limit while a
+// request waits.
 func TestLimitLeavesReservedConnections(t *testing.T) {
 	d := &dialer{}
 	p := newPool(t, d, 2)
@@ -184,23 +186,24 @@
 		defer p.mu.Unlock()
 		return len(p.waiting) == 1
 	})
-	assert.Equal(t, d.get(func() int { return d.dialed }), 2)
+	assert.Equal(t, d.locked(func() int { return d.dialed }), 2)
 	p.Put(first, false)
 	assert.Equal(t, (<-got).(*conn), first)
 	cancel()
 }
 
-// Guards against session state that leaks to the next user.
+// Guards against session state of one request that is left on the connection
+// when the next one uses it.
 func TestDirtyConnectionIsResetOrClosed(t *testing.T) {
 	d := &dialer{}
 	p := newPool(t, d, 1)
 	c := get(t, p)
 	p.Put(c, false)
-	assert.Equal(t, d.get(func() int { return d.resets }), 0)
+	assert.Equal(t, d.locked(func() int { return d.resets }), 0)
 	c = get(t, p)
 	p.Put(c, true)
 	assert.Equal(t, get(t, p), c)
-	assert.Equal(t, d.get(func() int { return d.resets }), 1)
+	assert.Equal(t, d.locked(func() int { return d.resets }), 1)
 	d.mu.Lock()
 	d.resetFails = true
 	d.mu.Unlock()
@@ -208,8 +211,9 @@
 	assert.Assert(t, get(t, p) != c)
 }
 
-// Guards against a request that leaves with a connection that it never uses.
-func TestAbandonedGetLosesNoConnection(t *testing.T) {
+// Guards against connections that are lost when Get is cancelled just as it
+// receives one.
+func TestCancelledGetLeaksNoConnection(t *testing.T) {
 	d := &dialer{}
 	p := newPool(t, d, 1)
 	for range 200 {
@@ -226,7 +230,7 @@
 	assert.Equal(t, idle, 1)
 }
 
-// Guards against idle connections that are kept for ever.
+// Guards against idle connections that are never closed.
 func TestIdleConnectionsAreTrimmed(t *testing.T) {
 	p := New(Options{Dialer: &dialer{}, MaxConnections: 10, IdleTimeout: 10 * time.Millisecond})
 	t.Cleanup(p.Close)
