--- a/bootclock/bootclock.go
+++ b/bootclock/bootclock.go
@@ -1,7 +1,7 @@
 // Package bootclock reads a clock that also counts the time for which the
-// machine was suspended. Leases and the age of knowledge are measured on it,
-// because the monotonic clock of the Go runtime stands still during a
-// suspension, and the time of day may be set.
+// machine was suspended. Leases and the ages of reports, positions and views are
+// measured with it, because the monotonic clock of the Go runtime stands still
+// during a suspension, and the time of day may be set.
 package bootclock
 
 import (
@@ -21,5 +21,5 @@
 	return time.Unix(now.Sec, now.Nsec)
 }
 
-// Since returns the time that has passed since an earlier result of Now.
+// Since returns the time that has passed since t, an earlier result of Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
--- a/bootclock/bootclock_test.go
+++ b/bootclock/bootclock_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a time that carries Go's monotonic reading, which would be
-// used for differences in place of the boot clock.
+// Guards against a result with Go's monotonic clock reading, which would be used
+// for differences in place of the boot clock.
 func TestNowHasNoMonotonicReading(t *testing.T) {
 	now := Now()
 	assert.Equal(t, now, now.Round(0))
--- a/failover/calls.go
+++ b/failover/calls.go
@@ -9,11 +9,12 @@
 	"lovageslip/upstream"
 )
 
-// call is what one upstream is asked on a fresh connection.
+// call is a request to one upstream, made on a new connection.
 type call func(ctx context.Context, conn upstream.Conn) (upstream.Status, error)
 
-// reply is the outcome of a call. After an error, fenced tells the highest
-// term that the upstream has promised to, if it still answered that.
+// reply is the outcome of a call to one upstream. fenced is the highest term that
+// the upstream is bound to. After an error it comes from a status call that
+// followed, and is zero if that failed, too.
 type reply struct {
 	name   string
 	status upstream.Status
@@ -21,9 +22,10 @@
 	err    error
 }
 
-// ask calls upstreams in parallel and returns the replies that arrived until
-// all have answered, or until stop says that the rest need not be waited for.
-// Calls that are still running end within callTimeout of their start.
+// ask calls upstreams in parallel and returns their replies. It returns when all
+// have replied or when the stop condition is met; calls that are still running
+// then end within callTimeout of their start. It fails with *NotLeading, without
+// any call, if the leader's term has ended.
 func (s *Supervisor) ask(ctx context.Context, targets []*pb.Upstream, do call, until stop) ([]reply, error) {
 	if !s.journal.Leading() {
 		return nil, &NotLeading{}
@@ -52,15 +54,16 @@
 	return replies, nil
 }
 
-// stop says when ask need not wait for the remaining upstreams: enough have
-// done what they were asked, not counting except, and extra has passed since.
+// stopCondition says when ask returns without the remaining replies: minSucceeded
+// upstreams, not counting the one named uncounted, have replied without an error,
+// and delay has passed since.
 type stop struct {
 	enough int
 	except string
 	extra  time.Duration
 }
 
-// never makes ask wait for every upstream.
+// waitForAll makes ask wait for the reply of every upstream.
 var never = stop{enough: math.MaxInt}
 
 func (s *Supervisor) askOne(ctx context.Context, u *pb.Upstream, do call) reply {
@@ -75,7 +78,8 @@
 	if err == nil {
 		return reply{name: u.GetName(), status: status, fenced: promised(status)}
 	}
-	// A refusal does not say which term the upstream is fenced at.
+	// The error does not say at which term the upstream is fenced, so its
+	// status is read on the same connection.
 	after, statusErr := conn.Status(ctx)
 	if statusErr != nil {
 		return reply{name: u.GetName(), err: err}
@@ -83,7 +87,8 @@
 	return reply{name: u.GetName(), status: after, fenced: promised(after), err: err}
 }
 
-// promised is the highest term that a server is bound to.
+// boundTerm returns the highest term that an upstream is bound to: it refuses
+// calls at lower terms.
 func promised(status upstream.Status) upstream.Term { return max(status.Fenced, status.Term) }
 
 func askStatus(ctx context.Context, conn upstream.Conn) (upstream.Status, error) {
@@ -110,8 +115,8 @@
 	}
 }
 
-// askFollow fences first, so that an old primary accepts nothing more even if
-// the second call is lost.
+// askFollow fences the upstream before it orders it to follow, so that an old
+// primary accepts no more writes even if the second call is lost.
 func askFollow(term upstream.Term, address string) call {
 	return func(ctx context.Context, conn upstream.Conn) (upstream.Status, error) {
 		if status, err := conn.Fence(ctx, term); err != nil {
--- a/failover/change.go
+++ b/failover/change.go
@@ -11,10 +11,10 @@
 	"lovageslip/upstream"
 )
 
-// majority returns how many members of g make a majority.
+// majority returns how many members of the group are a majority.
 func majority(g *pb.Group) int { return len(g.GetMembers())/2 + 1 }
 
-// membersOf returns the registered members of a group.
+// membersOf returns the members of a group that are registered upstreams.
 func membersOf(frame *controlstate.Frame, g *pb.Group) []*pb.Upstream {
 	var members []*pb.Upstream
 	for _, name := range g.GetMembers() {
@@ -25,7 +25,8 @@
 	return members
 }
 
-// proceed continues a change of primary from its logged step to its end.
+// continueChange carries out a change of primary from its logged step to its
+// end.
 func (s *Supervisor) proceed(ctx context.Context, database string) error {
 	for {
 		frame := s.journal.Frame()
@@ -45,7 +46,8 @@
 	}
 }
 
-// begin logs the start of a change at a term and carries it out.
+// startChange logs the start of a change of primary at a term and carries it
+// out.
 func (s *Supervisor) begin(ctx context.Context, g *pb.Group, term upstream.Term, reason string) error {
 	if err := s.logStart(ctx, g, term, reason); err != nil {
 		return err
@@ -72,7 +74,9 @@
 	return nil
 }
 
-// choose fences a majority and logs the most advanced of the fenced members.
+// choosePrimary fences a majority of the members at the term of the change, and
+// logs the most advanced of the fenced members as the chosen one. It starts again
+// at a higher term if a member is already fenced above that one.
 func (s *Supervisor) choose(ctx context.Context, frame *controlstate.Frame, g *pb.Group) error {
 	term := upstream.Term(g.GetTerm())
 	needed := majority(g)
@@ -93,11 +97,12 @@
 	}})
 }
 
-// eligible leaves out the replaced primary and leaving members if the others
-// are sure to hold all that was acknowledged: so many are fenced that they meet
-// every majority, and nothing acknowledged under earlier members is missing
-// (settled). A replaced primary that is cut off from its group holds the most
-// entries of all; choosing it again would change nothing.
+// eligible returns the fenced members that may be chosen. It leaves out the
+// replaced primary and leaving members if the others are sure to hold every
+// acknowledged write: enough of them are fenced to intersect every majority, and
+// they miss nothing that was acknowledged under earlier members
+// (majorityCaughtUp). A replaced primary that is cut off from its group may hold
+// the most entries of all; choosing it again would change nothing.
 func (s *Supervisor) eligible(frame *controlstate.Frame, g *pb.Group, fenced []reply) []reply {
 	var staying []reply
 	for _, r := range fenced {
@@ -112,8 +117,9 @@
 	return fenced
 }
 
-// pick returns the most advanced reply; among equals one that stays, then the
-// first name.
+// mostAdvanced returns the most advanced of the eligible replies, or of the
+// fenced ones if none is eligible. Among equals it prefers one that is not
+// leaving, then the first name.
 func pick(fenced, eligible []reply, frame *controlstate.Frame) reply {
 	candidates := eligible
 	if len(candidates) == 0 {
@@ -135,9 +141,10 @@
 	return 1
 }
 
-// compare orders by the term of the last entry, then by offset. The term that
-// a server follows says nothing of its log: a returning primary may follow a
-// new term and still hold entries past the fork.
+// compareLogs orders upstreams by the term of their last entry, then by offset.
+// The term that an upstream follows does not order logs: a primary that returns
+// may follow a new term and still hold entries past the point where the new
+// primary's log branched off.
 func compare(a, b upstream.Status) int {
 	return cmp.Or(cmp.Compare(lastTerm(a), lastTerm(b)), cmp.Compare(a.Offset, b.Offset))
 }
@@ -149,8 +156,8 @@
 	return status.History[len(status.History)-1].Term
 }
 
-// install promotes the chosen upstream, orders the others to follow it and
-// logs the end.
+// installPrimary promotes the chosen upstream, orders the others to follow it,
+// and logs the end of the change.
 func (s *Supervisor) install(ctx context.Context, frame *controlstate.Frame, g *pb.Group) error {
 	chosen, registered := frame.Upstreams[g.GetChosen()]
 	if !registered {
@@ -173,8 +180,9 @@
 	return nil
 }
 
-// promote may be repeated after a lost answer, because the upstream does
-// nothing at a term that it leads already.
+// promote orders the chosen upstream to become the primary of the group's term.
+// It may be repeated after a lost answer: it is idempotent, because an upstream
+// does nothing at a term of which it is the primary already.
 func (s *Supervisor) promote(ctx context.Context, g *pb.Group, chosen *pb.Upstream) error {
 	term := upstream.Term(g.GetTerm())
 	replies, err := s.ask(ctx, []*pb.Upstream{chosen}, askPromote(term), never)
@@ -187,8 +195,10 @@
 	return replies[0].err
 }
 
-// afterFailedPromotion starts again at a higher term if the chosen upstream
-// has refused or has failed too often.
+// afterFailedPromotion starts the change again at a higher term if the chosen
+// upstream is fenced at a higher one, or if its promotion has failed
+// maxPromoteAttempts times. Otherwise it returns the cause, and the promotion is
+// tried again later.
 func (s *Supervisor) afterFailedPromotion(ctx context.Context, g *pb.Group, cause error) error {
 	if refused, ok := asRefused(cause); ok && refused.Fenced > g.GetTerm() {
 		return s.logStart(ctx, g, upstream.Term(refused.Fenced)+1, "fenced_higher")
@@ -206,7 +216,7 @@
 }
 
 // followers returns all registered upstreams of the database but the primary.
-// Those that are not members follow too; they only do not count.
+// Those that are not members follow it as well, but do not count for a majority.
 func followers(frame *controlstate.Frame, g *pb.Group, primary string) []*pb.Upstream {
 	all := frame.InDatabase(g.GetDatabase())
 	others := make([]*pb.Upstream, 0, len(all))
@@ -218,8 +228,9 @@
 	return others
 }
 
-// orderFollow waits for as many as make a majority with the primary. The rest
-// is repaired later.
+// orderFollow orders upstreams to follow the primary, and waits until so many
+// have done so that they are a majority together with it. Those that have not
+// are ordered again by repair.
 func (s *Supervisor) orderFollow(ctx context.Context, g *pb.Group, primary *pb.Upstream, others []*pb.Upstream) ([]reply, error) {
 	order := askFollow(upstream.Term(g.GetTerm()), primary.GetAddress())
 	return s.ask(ctx, others, order, stop{enough: majority(g) - 1})
--- a/failover/detect.go
+++ b/failover/detect.go
@@ -8,7 +8,7 @@
 	"lovageslip/upstream"
 )
 
-// Reasons for a change of primary; they label counters.
+// Reasons for a change of primary. They are values of a metric label.
 const (
 	reasonUnreachable = "primary_unreachable"
 	reasonNoContact   = "replicas_without_contact"
@@ -18,7 +18,9 @@
 	reasonFenced      = "fenced_higher"
 )
 
-// decideLoss judges whether the primary may be lost, from reports alone.
+// decideLoss returns the replacement of the primary if the owners' reports show
+// that it may be lost, and nil otherwise. The replacement checks this with the
+// members before it changes anything.
 func (s *Supervisor) decideLoss(g *pb.Group, w groupFacts, now time.Time) func(context.Context) error {
 	reason := s.suspicion(g, w, now)
 	if reason == "" {
@@ -46,9 +48,9 @@
 	return report, ok && now.Sub(report.At) <= reportAge
 }
 
-// contactLost is true if a majority of the replicas follows the present term
-// and hears nothing from the primary. Replicas get lossTime after a change to
-// make their first contact.
+// contactLost reports whether a majority of the replicas follows the present term
+// and has had no contact with the primary for lossTimeout. After a change,
+// replicas have lossTimeout to make their first contact.
 func (s *Supervisor) contactLost(g *pb.Group, w groupFacts, now time.Time) bool {
 	if now.Sub(w.stepAt) < lossTime {
 		return false
@@ -68,9 +70,10 @@
 	return replicas > 0 && without >= replicas/2+1
 }
 
-// replaceLost asks all members itself before it starts a change. It starts
-// none without a majority, so that the primary keeps its term when the group
-// could not complete the change.
+// replaceLost asks all members for their status and starts a change of primary.
+// It starts none if the primary itself answers, unless the replicas have lost
+// contact with it, and none without answers of a majority: the group could not
+// complete the change, and the primary would lose its term for nothing.
 func (s *Supervisor) replaceLost(ctx context.Context, g *pb.Group, reason string) error {
 	frame := s.journal.Frame()
 	replies, err := s.ask(ctx, membersOf(frame, g), askStatus, never)
@@ -88,8 +91,8 @@
 	return s.begin(ctx, g, nextTerm(g, replies), reason)
 }
 
-// dropUnreachingOwner helps when the path from the owner to the primary is cut and
-// others are not.
+// dropCutOffOwner asks for another owner of a primary that the leader reaches but
+// the owner does not: the network path between those two has failed.
 func (s *Supervisor) dropUnreachingOwner(primary string) {
 	report, fresh := s.freshReport(primary, s.now())
 	if fresh && !report.Reachable && report.Unreachable >= ownerDropTime {
@@ -97,7 +100,8 @@
 	}
 }
 
-// leads reports whether the primary has answered as the primary of its term.
+// primaryAnswered reports whether the group's primary has answered as the primary
+// of the group's term.
 func leads(replies []reply, g *pb.Group) bool {
 	for _, r := range replies {
 		if r.name == g.GetPrimary() && r.err == nil {
--- a/failover/failover.go
+++ b/failover/failover.go
@@ -1,20 +1,22 @@
-// Package failover replaces the primary of a group. It is driven by the
-// control leader: each step is logged before it takes effect, so that another
-// leader can continue from the logged step.
+// Package failover finds the first primary of a group, replaces a primary that is
+// lost or leaving, and adds and removes members of the group. Package control
+// runs it on the control leader. Each step is logged before it takes effect, so
+// that another leader can continue from the logged step.
 //
 // # Majorities while members change
 //
 // A write is acknowledged once a majority of the members in the owner's view
 // has it, and a new primary is chosen from a majority of the logged members
 // that are fenced. Both use len(members)/2+1. Members are changed one at a
-// time, because any majority of a set meets any majority of a set that differs
-// by one member. Before the next change (see settle):
+// time, because any majority of a set intersects any majority of a set that
+// differs by one member. Before the next change (see checkMajorityCaughtUp):
 //
-//   - one lease has passed since the last change was logged, so no owner with
-//     a lease still counts by the members before it, and
-//   - a majority of the present members follows the present term and has
-//     everything that the primary had after that moment, so whatever was
-//     acknowledged under earlier members is held by a majority of these.
+//   - one lease has passed since the last change was logged, so that no owner
+//     with a lease still counts majorities by the members before it, and
+//   - a majority of the present members follows the present term and holds
+//     everything up to a position (the watermark) that was read from the
+//     primary after that time, so that whatever was acknowledged under earlier
+//     members is held by a majority of the present ones.
 //
 // Members do not change during a change of primary. Upstreams that announce
 // themselves before the group has had its first primary are members at once.
@@ -41,66 +43,75 @@
 )
 
 const (
-	// callTimeout bounds a call to an upstream, with dialing.
+	// callTimeout bounds a call to an upstream, including the dialing.
 	callTimeout = 300 * time.Millisecond
-	// lossTime is how long a primary must be unreachable. A shorter time
-	// raises false alarms at 40 ms round trips with 20 ms jitter.
+	// lossTime is how long a primary must be unreachable to its owner or to
+	// its replicas before it counts as lost. With a shorter time, working
+	// primaries are reported as lost at 40 ms round trips with 20 ms jitter.
 	lossTime = time.Second
 	// ownerDropTime is how long an owner may report a primary as unreachable that
 	// the leader reaches, before it is replaced as the owner.
 	ownerDropTime = 3 * time.Second
-	// reportAge is how old a report may be: three heartbeats.
+	// reportAge is how old a report may be to be used: three intervals of the
+	// owners' heartbeats.
 	reportAge = 1500 * time.Millisecond
 	// reportLag is how long after a change owners may still report what they
-	// saw before it: a poll and a heartbeat.
+	// saw before it: the intervals of a poll and of a heartbeat.
 	reportLag = 700 * time.Millisecond
-	// adoptTime lets the members of a new group announce themselves before
-	// the group adopts its primary, so that they need not be added later.
+	// adoptTime is how long a new group waits before it adopts its primary, so
+	// that its members can announce themselves and need not be added later.
 	adoptTime = time.Second
-	// electTime is longer than adoptTime: an election in a new group may
-	// discard what a member that is still silent holds.
+	// electTime is how long a new group waits for a primary before it elects
+	// one. It is longer than adoptTime, because an election may discard what
+	// only a member holds that has not answered yet.
 	electTime = 5 * time.Second
-	// extraWait is how long answers beyond a majority are waited for.
+	// extraWait is how long replies are awaited after a majority has been
+	// fenced, because a member that replies later may be more advanced.
 	extraWait = 50 * time.Millisecond
 	// memberRemovalTime is how long a member must be unreachable to be removed. It
 	// becomes a member again when it returns.
 	memberRemovalTime = time.Minute
-	// leavingRemovalTime is how long a leaving upstream must be unreachable until its
-	// registration is removed.
+	// leavingRemovalTime is how long a leaving upstream must be unreachable before
+	// its registration is removed.
 	leavingRemovalTime = time.Minute
-	// minMembers is how many members must remain when a dead one is removed.
+	// minMembers is how many members must remain when an unreachable one is
+	// removed.
 	minMembers = 3
-	// promoteTries is how often the chosen upstream is asked before the
-	// procedure starts again at the next term.
+	// promoteTries is how many times in a row the promotion of the chosen
+	// upstream may fail before the change starts again at the next term.
 	promoteTries = 3
 
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = time.Second
 )
 
-// Report is an owner's report on an upstream, as the leader received it.
+// Report is an owner's report on an upstream.
 type Report struct {
-	// At is when the leader received it.
+	// At is when the leader received the report.
 	At        time.Time
 	Reachable bool
-	// Unreachable is the time since the last answer, if not Reachable.
+	// Unreachable is the time since the upstream last answered its owner, if
+	// it is not Reachable.
 	Unreachable time.Duration
 	Primary     bool
 	Term        upstream.Term
 	Offset      upstream.Offset
-	// PrimaryContactAge is the time since a replica heard from its primary.
+	// PrimaryContactAge is the time since a replica last had contact with its
+	// primary.
 	PrimaryContactAge time.Duration
 }
 
-// Journal is the replicated record as one leader sees it. It is bound to one
-// term of the control log: Propose fails once that term has ended.
+// Journal gives one control leader access to the replicated state and to the
+// owners' reports. It is bound to one term of the control log: Propose fails once
+// that term has ended.
 type Journal interface {
-	// Leading reports whether the term still holds.
+	// Leading reports whether this host still leads in that term.
 	Leading() bool
 	// Frame returns the current state.
 	Frame() *controlstate.Frame
-	// Propose logs a command. applied is false if a guard refused it. After
-	// an error the command may still be applied.
+	// Propose logs a command. applied is false if the command did not fit the
+	// logged state any more and changed nothing. After an error the command
+	// may still be applied.
 	Propose(ctx context.Context, cmd *pb.Command) (applied bool, err error)
 	// Report returns the latest report on an upstream.
 	Report(name string) (Report, bool)
@@ -109,21 +120,21 @@
 	DropOwner(name string)
 }
 
-// Options configures a Supervisor.
+// Options configures a Supervisor; New takes it.
 type Options struct {
 	Log     *slog.Logger
 	Metrics tally.Scope
 	Dialer  upstream.Dialer
 	Journal Journal
 	// LeaseExpiry is how long after a change of the state an owner with a
-	// lease may still act on the state before it.
+	// lease may still act on the previous state.
 	LeaseExpiry time.Duration
 	// Now replaces the clock; time.Now if nil.
 	Now func() time.Time
 }
 
-// Supervisor watches all groups for one leader term. Tick is called by one
-// goroutine; it starts at most one action per group at a time.
+// Supervisor supervises all groups for one term of a control leader. Tick must be
+// called by one goroutine only; it runs at most one action per group at a time.
 type Supervisor struct {
 	log     *slog.Logger
 	metrics tally.Scope
@@ -133,7 +144,7 @@
 	now     func() time.Time
 	running conc.WaitGroup
 
-	// mu guards groups and the fields of each.
+	// mu guards groups and the fields of each groupWatch.
 	mu     sync.Mutex
 	groups map[string]*groupWatch
 }
@@ -155,11 +166,11 @@
 	}
 }
 
-// Wait returns once all actions have ended. The context of Tick must have
-// ended before.
+// Wait returns once all actions have ended. The context given to Tick must end
+// before, because that is what stops them.
 func (s *Supervisor) Wait() { s.running.Wait() }
 
-// Tick starts what is due in each group and does not wait for it.
+// Tick starts the action that is due in each group and does not wait for its end.
 func (s *Supervisor) Tick(ctx context.Context) {
 	frame := s.journal.Frame()
 	now := s.now()
@@ -175,8 +186,9 @@
 	}
 }
 
-// kind names what an action is for. A failed action delays only actions of its
-// kind, so that a lost primary never waits for less urgent work.
+// kind is the purpose of an action. The backoff after a failed action delays only
+// actions of the same kind, so that the replacement of a lost primary never waits
+// for less urgent work.
 type kind string
 
 const (
@@ -187,7 +199,8 @@
 	kindMembers kind = "members"
 )
 
-// action is one attempt at what a group needs.
+// action is work on one group that Tick starts; act returns an error if it has
+// to be tried again.
 type action struct {
 	kind kind
 	act  func(context.Context) error
@@ -217,10 +230,10 @@
 	w.backoff = min(max(2*w.backoff, minBackoff), maxBackoff)
 	w.retryAt = s.now().Add(w.backoff)
 	s.metrics.Tagged(map[string]string{"kind": string(k)}).Counter("attempts_failed_total").Inc(1)
-	s.log.Info("attempt failed", "database", w.database, "kind", k, "err", err, "retry_after", w.backoff)
+	s.log.Info("action on a group failed", "database", w.database, "kind", k, "err", err, "retry_after", w.backoff)
 }
 
-// decide returns the most urgent action, if any is due.
+// decide returns the most urgent action on a group, and whether any is due.
 func (s *Supervisor) decide(frame *controlstate.Frame, g *pb.Group, f groupFacts, now time.Time) (action, bool) {
 	switch g.GetStep() {
 	case pb.PromotionStep_PROMOTION_STEP_STARTED, pb.PromotionStep_PROMOTION_STEP_CHOSEN:
--- a/failover/failover_test.go
+++ b/failover/failover_test.go
@@ -15,10 +15,10 @@
 	"lovageslip/upstream"
 )
 
-// leaseExpiry is short, because member changes wait for it.
+// leaseExpiry is short, because changes of members wait for it.
 const leaseExpiry = 100 * time.Millisecond
 
-// leader is a control leader that supervises the fake group.
+// leader runs a Supervisor as a control leader does, on the fake group.
 type leader struct {
 	journal *fakeJournal
 	stop    func()
@@ -58,7 +58,8 @@
 	}}}})
 }
 
-// newState returns the state of a group whose first server leads term 1.
+// newState returns the state of a group whose first server is the primary of
+// term 1.
 func newState(names ...string) *controlstate.State {
 	state := controlstate.New(controlstate.Options{})
 	for _, name := range names {
@@ -98,7 +99,7 @@
 	return func() bool { return group(state).GetTerm() > 1 && group(state).GetPrimary() != "" }
 }
 
-// checkOnePrimaryPerTerm guards against two servers that led one term.
+// checkOnePrimaryPerTerm checks that no two servers were primaries of one term.
 func checkOnePrimaryPerTerm(t *testing.T, n *fakeNet) {
 	t.Helper()
 	n.mu.Lock()
@@ -108,7 +109,7 @@
 	}
 }
 
-// checkKept guards against the loss of an acknowledged entry.
+// checkEntryKept checks that the group's primary holds the entry at position p.
 func checkKept(t *testing.T, n *fakeNet, state *controlstate.State, p upstream.Position) {
 	t.Helper()
 	s := n.get(group(state).GetPrimary())
@@ -118,9 +119,10 @@
 	assert.Assert(t, status.Includes(p), "primary %s lost %v", s.name, p)
 }
 
-// A control leader may die at any interaction, before or after that takes
-// effect. Another one must finish the change, with one primary per term and
-// without the loss of an acknowledged write.
+// Guards against a change of primary that stays unfinished, or loses an
+// acknowledged write, after the control leader has crashed. It crashes at each
+// call and each proposal in turn, before or after that has taken effect, and
+// another leader must finish the change.
 func TestInterruptedChangeIsResumedByAnotherLeader(t *testing.T) {
 	for _, effect := range []bool{false, true} {
 		for after := 1; ; after++ {
@@ -147,8 +149,8 @@
 	waitFor(t, "c to follow", func() bool { return uint64(n.get("c").term) == group(state).GetTerm() })
 }
 
-// An answer that is lost leaves the leader in doubt whether the call took
-// effect; repeating it must be safe.
+// Guards against two primaries of a term, or a lost write, when the leader
+// repeats a fence or promote call that took effect, but whose answer was lost.
 func TestLostAnswersOfFenceAndPromote(t *testing.T) {
 	for _, kind := range []string{"fence", "promote"} {
 		t.Run(kind, func(t *testing.T) {
@@ -166,8 +168,8 @@
 	}
 }
 
-// A leader that does not know yet that it was replaced acts on the same group
-// as its successor.
+// Guards against two primaries of a term when a leader that does not know yet
+// that it was replaced acts on the same group as its successor.
 func TestTwoLeadersRaceOnOneGroup(t *testing.T) {
 	for range 10 {
 		n, state := newNet("a", "b", "c"), newState("a", "b", "c")
@@ -181,8 +183,8 @@
 	}
 }
 
-// An old primary that returns must follow the new one and drop the entries
-// that nobody had acknowledged.
+// An old primary that returns must follow the new one and drop the entries that
+// were never acknowledged.
 func TestReturningOldPrimaryFollows(t *testing.T) {
 	n, state := newNet("a", "b", "c"), newState("a", "b", "c")
 	n.write("a", 10, "b", "c")
@@ -198,8 +200,8 @@
 	checkOnePrimaryPerTerm(t, n)
 }
 
-// With two of three servers lost there must be no promotion, and the
-// remaining one must not be disturbed.
+// With two of three servers lost there must be no promotion, and the remaining
+// one must not be fenced.
 func TestTwoOfThreeLostGivesNoPromotion(t *testing.T) {
 	n, state := newNet("a", "b", "c"), newState("a", "b", "c")
 	n.edit("a", func(s *fakeServer) { s.down = true })
@@ -214,8 +216,8 @@
 	waitFor(t, "promotion once a majority is back", changed(state))
 }
 
-// A change that has started must choose nobody until a majority is fenced,
-// because the others may hold what was acknowledged.
+// A change that has started must choose no primary until a majority is fenced,
+// because only the others may hold acknowledged writes.
 func TestStartedChangeWaitsForAMajority(t *testing.T) {
 	n, state := newNet("a", "b", "c"), newState("a", "b", "c")
 	n.write("a", 10, "b")
@@ -232,8 +234,9 @@
 	checkKept(t, n, state, upstream.Position{Term: 1, Offset: 10})
 }
 
-// A returning primary that follows the new term, but still holds entries past
-// the fork, must not be taken for the most advanced.
+// A returning primary that follows the new term, but still holds entries past the
+// point where the new primary's log branched off, must not count as the most
+// advanced.
 func TestFollowedTermIsNoMeasureOfTheLog(t *testing.T) {
 	n, state := newNet("b", "a", "c"), newState("b", "a", "c")
 	n.edit("a", func(s *fakeServer) { s.offset, s.term, s.fenced, s.follows = 100, 2, 2, "" })
@@ -252,8 +255,8 @@
 	assert.Equal(t, group(state).GetPrimary(), "c")
 }
 
-// If the chosen server dies before it is promoted, another one must be chosen
-// at the next term.
+// If the chosen server fails before it is promoted, another one must be chosen at
+// a higher term.
 func TestChosenServerDiesBeforePromotion(t *testing.T) {
 	n, state := newNet("a", "b", "c"), newState("a", "b", "c")
 	apply(state, startedAt(2))
@@ -266,8 +269,8 @@
 	checkOnePrimaryPerTerm(t, n)
 }
 
-// An owner that cannot reach a primary which works must not cost the group its
-// primary.
+// A primary that answers the control leader must not be replaced because its
+// owner cannot reach it.
 func TestPrimaryThatAnswersTheLeaderStays(t *testing.T) {
 	n, state := newNet("a", "b", "c"), newState("a", "b", "c")
 	j := newJournal(state, 2, nil)
@@ -280,8 +283,8 @@
 	assert.Equal(t, len(j.dropped), 0)
 }
 
-// An owner whose own path to the primary is cut for long must lose it to
-// another host, or writes would wait for ever.
+// An owner that cannot reach its primary for ownerDropTime, although the leader
+// can, must be replaced as the owner, or writes would wait for ever.
 func TestOwnerThatCannotReachThePrimaryIsDropped(t *testing.T) {
 	n, state := newNet("a", "b", "c"), newState("a", "b", "c")
 	j := newJournal(state, 2, nil)
@@ -294,16 +297,16 @@
 	assert.Equal(t, group(state).GetTerm(), uint64(1))
 }
 
-// A primary that its owner still reaches, but that its replicas do not hear
-// from, cannot have writes acknowledged and must be replaced by another server,
-// although it holds the most entries of all.
+// A primary that its owner still reaches, but whose replicas have lost contact
+// with it, cannot have writes acknowledged. It must be replaced by another server,
+// although it holds the most entries.
 func TestReplicasWithoutContactReplaceThePrimary(t *testing.T) {
 	n, state := newNet("a", "b", "c"), newState("a", "b", "c")
 	n.write("a", 5, "b")
 	j := newJournal(state, 2, nil)
 	now := time.Now()
 	s := failover.New(failover.Options{Dialer: &view{net: n}, Journal: j, LeaseExpiry: leaseExpiry, Now: func() time.Time { return now }})
-	for range 3 { // the members settle: sees them, reads the floor, confirms it
+	for range 3 { // the ticks see the members, read the watermark, and see that a majority holds it
 		s.Tick(t.Context())
 		s.Wait()
 		now = now.Add(leaseExpiry)
@@ -336,7 +339,7 @@
 	assert.Equal(t, group(state).GetTerm(), uint64(1))
 }
 
-// A group without any primary must get one, from a majority.
+// A group without any primary must elect one if a majority answers.
 func TestPrimaryIsElectedIfNoneLeads(t *testing.T) {
 	n, state := newNet("a", "b", "c"), controlstate.New(controlstate.Options{})
 	n.write("a", 5, "b")
--- a/failover/fake_test.go
+++ b/failover/fake_test.go
@@ -15,7 +15,7 @@
 	"lovageslip/upstream"
 )
 
-// fakeServer is a database server in memory. Its network guards it.
+// fakeServer is a database server in memory. The mutex of its fakeNet guards it.
 type fakeServer struct {
 	name, address string
 	down          bool
@@ -28,16 +28,16 @@
 	loseAnswers map[string]int
 }
 
-// fakeNet is the group of servers.
+// fakeNet is a group of fake servers.
 type fakeNet struct {
 	mu      sync.Mutex
 	servers map[string]*fakeServer
-	// led records which server was primary of each term.
+	// led records, by term, the names of the servers that were its primary.
 	led map[upstream.Term]map[string]bool
 }
 
-// crash makes the control leader fail at its n-th interaction, before or
-// after that takes effect.
+// crash makes a control leader fail at its n-th interaction, a call to a server
+// or a proposal, before or after that takes effect.
 type crash struct {
 	mu     sync.Mutex
 	after  int
@@ -45,8 +45,8 @@
 	dead   bool
 }
 
-// step counts an interaction. It says whether it takes effect and whether the
-// leader sees the answer.
+// step counts an interaction. It returns whether the interaction takes effect and
+// whether the leader receives the answer.
 func (c *crash) step() (effect, answered bool) {
 	if c == nil {
 		return true, true
@@ -73,7 +73,7 @@
 	return !c.dead
 }
 
-// newNet returns a group whose first server leads term 1.
+// newNet returns a group whose first server is the primary of term 1.
 func newNet(names ...string) *fakeNet {
 	n := &fakeNet{servers: map[string]*fakeServer{}, led: map[upstream.Term]map[string]bool{}}
 	for i, name := range names {
@@ -143,7 +143,7 @@
 	s.offset, s.history = p.offset, slices.Clone(p.history)
 }
 
-// view is the Dialer of one leader, which may crash.
+// fakeDialer is the Dialer of one leader, which may crash.
 type view struct {
 	net   *fakeNet
 	crash *crash
@@ -240,7 +240,7 @@
 	})
 }
 
-// fakeJournal is one leader's view of a shared state.
+// fakeJournal is the Journal of one leader on a state that leaders share.
 type fakeJournal struct {
 	state *controlstate.State
 	term  uint64
@@ -291,7 +291,7 @@
 	return r, ok
 }
 
-// reportAll makes fresh reports of what the servers are now.
+// reportAll stores new reports on all servers in their present state.
 func (j *fakeJournal) reportAll(n *fakeNet, contactAge time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -305,7 +305,7 @@
 	}
 }
 
-// DropOwner records the request.
+// DropOwner implements failover.Journal; it records the name.
 func (j *fakeJournal) DropOwner(name string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/failover/members.go
+++ b/failover/members.go
@@ -9,20 +9,21 @@
 	"lovageslip/upstream"
 )
 
-// leavingRetry is how long to wait before a leaving primary is replaced again
-// after a change has chosen it once more.
+// leavingRetry is the pause between two attempts to replace a leaving primary. A
+// change may have chosen the same primary again.
 const leavingRetry = 5 * time.Second
 
-// memberChange is a change of one member that is wanted.
+// memberChange is the addition or removal of one member.
 type memberChange struct {
 	upstream string
 	remove   bool
 }
 
-// decideMembers settles the members, replaces a primary that leaves, and
-// changes one member. Settling does not wait for a wanted change, because a
-// primary that is cut off later can be passed over only if the members had
-// settled before.
+// decideMembers returns the next action that the members need, nil if none: the
+// check that a majority has caught up, the replacement of a leaving primary, the
+// change of one member, or the removal of a registration. The check does not wait
+// until a member is to change, because a primary that is cut off later can be
+// left out of the choice only if a majority had caught up before.
 func (s *Supervisor) decideMembers(frame *controlstate.Frame, g *pb.Group, w groupFacts, now time.Time) func(context.Context) error {
 	if now.Sub(w.membersAt) < s.expiry {
 		return nil
@@ -53,8 +54,9 @@
 	return false
 }
 
-// wantedChange adds before it removes, so that a group that is being replaced
-// keeps as many members as it can.
+// wantedChange returns a member that is to be added or removed, if any. Additions
+// come first, so that a group whose upstreams are being replaced keeps as many
+// members as possible.
 func (s *Supervisor) wantedChange(frame *controlstate.Frame, g *pb.Group, now time.Time) (memberChange, bool) {
 	for _, u := range followers(frame, g, g.GetPrimary()) {
 		if !u.GetLeaving() && !isMember(g, u.GetName()) && s.canJoin(g, u.GetName(), now) {
@@ -78,7 +80,7 @@
 	return false
 }
 
-// canJoin is true for a replica that reports the present term.
+// canJoin reports whether an upstream is reachable and follows the group's term.
 func (s *Supervisor) canJoin(g *pb.Group, name string, now time.Time) bool {
 	report, fresh := s.freshReport(name, now)
 	return fresh && report.Reachable && uint64(report.Term) == g.GetTerm()
@@ -92,8 +94,9 @@
 	return fresh && !report.Reachable && report.Unreachable >= memberRemovalTime
 }
 
-// settle checks that a majority of the members holds what the primary had at
-// least one lease after these members came into force.
+// checkMajorityCaughtUp reads a position of the primary, the watermark, at least
+// one lease after the present members came into force. Later calls check that a
+// majority of the members holds everything up to it.
 func (s *Supervisor) settle(ctx context.Context, g *pb.Group, w groupFacts) error {
 	replies, err := s.ask(ctx, membersOf(s.journal.Frame(), g), askStatus, never)
 	if err != nil {
@@ -116,7 +119,8 @@
 	return &NotSettled{Database: g.GetDatabase(), Reason: "the primary does not answer"}
 }
 
-// holding counts the upstreams that follow the group's term and include p.
+// countHolding returns how many of the upstreams follow the group's term and hold
+// everything up to position p.
 func holding(replies []reply, g *pb.Group, p upstream.Position) int {
 	n := 0
 	for _, r := range replies {
@@ -127,8 +131,9 @@
 	return n
 }
 
-// changeMember logs a change after it has checked again that a majority
-// answers, and that a new member has caught up with settlePosition.
+// changeMember logs the change of a member, after it has checked again that a
+// majority of the members holds everything up to the watermark, and so does a new
+// member.
 func (s *Supervisor) changeMember(ctx context.Context, g *pb.Group, w groupFacts, change memberChange) error {
 	frame := s.journal.Frame()
 	replies, err := s.ask(ctx, membersOf(frame, g), askStatus, never)
@@ -143,7 +148,7 @@
 			return err
 		}
 	}
-	s.log.Info("member changes", "database", g.GetDatabase(), "upstream", change.upstream, "remove", change.remove)
+	s.log.Info("change of a group member proposed", "database", g.GetDatabase(), "upstream", change.upstream, "remove", change.remove)
 	return s.step(ctx, g, "change_member", &pb.Command{Command: &pb.Command_ChangeMember{ChangeMember: &pb.ChangeMember{
 		Database: g.GetDatabase(),
 		Upstream: change.upstream,
@@ -163,8 +168,9 @@
 	return nil
 }
 
-// replaceLeaving changes the primary while the old one still works. It starts
-// only if a replica that stays follows the present term.
+// replaceLeaving changes a leaving primary while it still works. It starts the
+// change only if a majority answers and a member that is not leaving has caught
+// up with the watermark.
 func (s *Supervisor) replaceLeaving(ctx context.Context, g *pb.Group, w groupFacts) error {
 	s.remember(w.watch, func(f *groupFacts) { f.replacedAt = s.now() })
 	frame := s.journal.Frame()
@@ -184,7 +190,9 @@
 	return s.begin(ctx, g, nextTerm(g, replies), reasonLeaving)
 }
 
-// decideRemoval removes the registration of a leaving upstream that has gone.
+// decideUpstreamRemoval returns the removal of the registration of a leaving
+// upstream that is not a member any more and has been unreachable for
+// leavingRemovalTime, nil if there is none.
 func (s *Supervisor) decideRemoval(frame *controlstate.Frame, g *pb.Group, now time.Time) func(context.Context) error {
 	for _, u := range followers(frame, g, g.GetPrimary()) {
 		if !u.GetLeaving() || isMember(g, u.GetName()) {
--- a/failover/members_test.go
+++ b/failover/members_test.go
@@ -14,8 +14,8 @@
 
 func members(state *controlstate.State) []string { return group(state).GetMembers() }
 
-// A primary that leaves must be replaced while it works, without the loss of
-// an acknowledged write, and must then stop counting for a majority.
+// A leaving primary must be replaced while it still works, without the loss of an
+// acknowledged write, and must then be removed from the members.
 func TestLeavingPrimaryIsReplacedInOrder(t *testing.T) {
 	n, state := newNet("a", "b", "c"), newState("a", "b", "c")
 	n.write("a", 10, "b")
@@ -28,7 +28,7 @@
 	assert.Assert(t, group(state).GetPrimary() != "a")
 }
 
-// A leaving primary must stay while a majority lacks what it has.
+// A leaving primary must stay while no majority has caught up with it.
 func TestLeavingPrimaryStaysUntilAMajorityHasCaughtUp(t *testing.T) {
 	n, state := newNet("a", "b", "c", "d", "e"), newState("a", "b", "c", "d", "e")
 	n.write("a", 10, "b")
@@ -44,8 +44,8 @@
 	assert.Equal(t, group(state).GetTerm(), uint64(1))
 }
 
-// A new replica must be ordered to follow, and must count for a majority only
-// once it has caught up.
+// A new replica must be ordered to follow the primary, and must become a member
+// only once it has caught up.
 func TestNewReplicaJoinsOnceItHasCaughtUp(t *testing.T) {
 	n, state := newNet("a", "b", "c"), newState("a", "b", "c")
 	n.write("a", 10, "b", "c")
@@ -58,9 +58,9 @@
 	assert.Equal(t, group(state).GetTerm(), uint64(1))
 }
 
-// Two changes of members in quick succession could leave two majorities that
-// do not meet. An owner with a lease may count by the members before the last
-// change, so the next one must wait for a lease.
+// Two changes of members in quick succession could lead to two majorities that do
+// not intersect. An owner with a lease may still count by the members before the
+// last change, so the next one must wait for a lease.
 func TestMembersChangeAtMostOncePerLease(t *testing.T) {
 	n, state := newNet("a", "b", "c", "d", "e"), newState("a", "b", "c", "d", "e")
 	register(state, "d", true)
@@ -86,8 +86,8 @@
 	assert.Equal(t, len(members(state)), 3)
 }
 
-// Members must not change while no majority holds what was acknowledged under
-// the members before.
+// Members must not change while no majority of them holds every write that was
+// acknowledged under earlier members.
 func TestMembersStayWhileNoMajorityHasCaughtUp(t *testing.T) {
 	n, state := newNet("a", "b", "c"), newState("a", "b", "c")
 	n.write("a", 10)
@@ -112,8 +112,8 @@
 	assert.Equal(t, len(members(state)), 2)
 }
 
-// The replacement of a lost primary must not wait for the retry of a member
-// change that failed a moment ago.
+// The replacement of a lost primary must not wait for the backoff of a member
+// change that has just failed.
 func TestLostPrimaryDoesNotWaitForMemberChanges(t *testing.T) {
 	n, state := newNet("a", "b", "c"), newState("a", "b", "c")
 	n.write("a", 10)
--- a/failover/new.go
+++ b/failover/new.go
@@ -8,7 +8,8 @@
 	"lovageslip/upstream"
 )
 
-// decideNew looks for the first primary of a group.
+// decideFirstPrimary returns the search for the first primary of a new group, nil
+// while its members may still be announcing themselves.
 func (s *Supervisor) decideNew(g *pb.Group, w groupFacts, now time.Time) func(context.Context) error {
 	waited := now.Sub(w.seenAt)
 	if waited < adoptTime {
@@ -17,8 +18,9 @@
 	return func(ctx context.Context) error { return s.findFirst(ctx, g, waited >= electTime) }
 }
 
-// findFirst adopts the primary that leads already. If there is none, and a
-// majority answers, it elects one by a change of primary.
+// findFirstPrimary adopts an upstream that is a primary already. If there is
+// none, elect is set and a majority answers, it elects one by a change of
+// primary.
 func (s *Supervisor) findFirst(ctx context.Context, g *pb.Group, elect bool) error {
 	replies, err := s.ask(ctx, membersOf(s.journal.Frame(), g), askStatus, never)
 	if err != nil {
@@ -37,8 +39,8 @@
 	return s.begin(ctx, g, nextTerm(g, replies), reasonElection)
 }
 
-// leader returns the primary of the highest term, unless an upstream has
-// promised to a higher one.
+// currentPrimary returns the reply of the primary of the highest term, unless an
+// upstream is fenced at a higher term.
 func leader(replies []reply) (reply, bool) {
 	var best reply
 	for _, r := range replies {
--- a/failover/repair.go
+++ b/failover/repair.go
@@ -9,8 +9,9 @@
 	"lovageslip/upstream"
 )
 
-// decideRepair finds upstreams that do not follow the present primary: an old
-// primary that has returned, a new replica, or one whose order was lost.
+// decideRepair returns an order to follow the present primary for the upstreams
+// that do not, nil if there are none. Such upstreams are an old primary that has
+// returned, a new replica, or a replica to which an earlier order was lost.
 func (s *Supervisor) decideRepair(frame *controlstate.Frame, g *pb.Group, w groupFacts, now time.Time) func(context.Context) error {
 	primary, registered := frame.Upstreams[g.GetPrimary()]
 	if !registered {
@@ -30,8 +31,9 @@
 	return func(ctx context.Context) error { return s.repair(ctx, g, w, primary, targets) }
 }
 
-// needsFollowOrder counts a replica without contact only while the primary is reachable,
-// because otherwise the primary is at fault.
+// needsFollowOrder reports whether an upstream must be ordered to follow the
+// primary. A replica without contact to its primary needs the order only while
+// the primary is reachable; otherwise the primary is the cause.
 func (s *Supervisor) needsFollowOrder(g *pb.Group, report Report, now time.Time) bool {
 	if !report.Reachable {
 		return false
@@ -55,13 +57,13 @@
 		return s.changeAboveFence(ctx, g, higher)
 	}
 	for _, r := range replies {
-		s.log.Info("ordered to follow", "upstream", r.name, "term", g.GetTerm(), "primary", primary.GetName(), "err", r.err)
+		s.log.Info("upstream ordered to follow the primary", "upstream", r.name, "term", g.GetTerm(), "primary", primary.GetName(), "err", r.err)
 	}
 	return nil
 }
 
-// changeAboveFence changes the primary at a term above one that an upstream has promised
-// to, because that upstream can join at no lower term.
+// changeAboveFence changes the primary at a term above the one at which an
+// upstream is fenced, because that upstream cannot follow at a lower term.
 func (s *Supervisor) changeAboveFence(ctx context.Context, g *pb.Group, higher upstream.Term) error {
 	replies, err := s.ask(ctx, membersOf(s.journal.Frame(), g), askStatus, never)
 	if err != nil {
--- a/site/config.go
+++ b/site/config.go
@@ -7,10 +7,11 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// routeKey is what no two routes may share.
+// routeKey identifies a route: no two routes have the same database and prefix.
 type routeKey struct{ database, prefix string }
 
-// CheckConfig returns *fault.Invalid if a configuration must not be stored.
+// CheckConfig returns *fault.Invalid if a configuration has two groups of one
+// name, two routes of one key, or a route without a group or timeout.
 func CheckConfig(c *pb.SiteConfig) error {
 	groups := make(map[string]bool, len(c.Groups))
 	for _, g := range c.Groups {
--- a/site/state.go
+++ b/site/state.go
@@ -1,6 +1,7 @@
-// Package site holds the replicated state of a site: its configuration, the
-// upstreams that announced themselves, and which upstream leads each group.
-// It knows neither the network nor the platform.
+// Package site holds the state of a site that the control hosts replicate
+// (package sitecontrol): its configuration, the upstreams that announced
+// themselves, and the primary of each group. It also builds the view of that
+// state that a proxy works with. It uses neither the network nor the platform.
 package site
 
 import (
@@ -17,7 +18,7 @@
 type State struct {
 	// mu guards the fields below.
 	mu      sync.Mutex
-	current *pb.SiteState // never modified in place
+	current *pb.SiteState // immutable; each change replaces it
 	index   uint64
 	changed chan struct{}
 }
@@ -28,7 +29,7 @@
 }
 
 // Current returns the state, which the caller must not modify, the log index of
-// its last change, and a channel that is closed at the next change.
+// its last change, and a channel that is closed when the state changes.
 func (s *State) Current() (state *pb.SiteState, index uint64, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,8 +104,9 @@
 	return true
 }
 
-// Supersedes reports whether an announcement is newer than a record of the
-// same upstream. Announcements of one process are ordered by their sequence.
+// Supersedes reports whether the announcement u is newer than the record of the
+// same upstream. The process that started later is newer; announcements of one
+// process are ordered by their sequence number.
 func Supersedes(u, record *pb.SiteUpstream) bool {
 	if u.BornMs != record.BornMs {
 		return u.BornMs > record.BornMs
@@ -128,8 +130,9 @@
 	return true
 }
 
-// evictAddress removes older processes that had the address of u. It reports
-// false if the address belongs to a younger process, so that u is gone.
+// evictAddress removes the upstreams whose older processes had the address of u.
+// It reports false if a younger process has the address, so that the process
+// that announced u must have ended.
 func evictAddress(state *pb.SiteState, u *pb.SiteUpstream) bool {
 	for _, r := range slices.Clone(state.Upstreams) {
 		if r.Address != u.Address || r.Id == u.Id {
@@ -151,7 +154,8 @@
 	return len(state.Upstreams) != before
 }
 
-// editGroup replaces the record of a group by a copy that edit may change.
+// editGroup replaces the record of a group, or a new one if it has none, by a
+// copy that edit has changed.
 func editGroup(state *pb.SiteState, group string, edit func(*pb.SiteGroupState)) {
 	at := slices.IndexFunc(state.Groups, func(g *pb.SiteGroupState) bool { return g.Group == group })
 	if at < 0 {
@@ -163,8 +167,10 @@
 	state.Groups[at] = copied
 }
 
-// orderPrimary logs an order before it is given, so that its token, the index
-// of the entry, rises with each order whoever leads.
+// orderPrimary records a promotion order, which the leader logs before it sends
+// the order to the platform. The log index is the order's token, so that tokens
+// rise across leaders. An order is refused if it was made without knowledge of
+// the one before it.
 func orderPrimary(state *pb.SiteState, index uint64, c *pb.OrderPrimary) bool {
 	if Group(state, c.Group).GetOrder() != c.PreviousOrder {
 		return false
--- a/site/state_test.go
+++ b/site/state_test.go
@@ -9,7 +9,7 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// log feeds a state as the consensus would.
+// log applies commands to a state with rising indexes, as the consensus does.
 type log struct {
 	t     *testing.T
 	state *State
@@ -18,7 +18,8 @@
 
 func newLog(t *testing.T) *log { return &log{t: t, state: NewState()} }
 
-// apply logs a command and reports whether it changed the state.
+// apply applies a command at the next index and reports whether it changed the
+// state.
 func (l *log) apply(c *pb.SiteCommand) bool {
 	l.t.Helper()
 	l.index++
@@ -54,8 +55,9 @@
 	return state
 }
 
-// Guards against two operators whose changes race: the later entry must not
-// take the place of a higher version, nor other content that of the same one.
+// Guards against configurations of two operators that are stored concurrently: a
+// later log entry must not replace a higher version, nor the same version with
+// other content.
 func TestOnlyAHigherVersionIsStored(t *testing.T) {
 	l := newLog(t)
 	assert.Assert(t, l.store(0, "zero"), "the first configuration may have version 0")
@@ -65,8 +67,8 @@
 	assert.Equal(t, string(l.current().Document), "seven")
 }
 
-// Guards against an announcement that was held up and names a process that is
-// gone, at its own id or at an address that is used again.
+// Guards against a delayed announcement of a process that has ended, which would
+// replace a later process with the same id or at the same address.
 func TestLateAnnouncementsAreNotRecorded(t *testing.T) {
 	l := newLog(t)
 	assert.Assert(t, l.record("a", "10.0.0.1:1", 100, 5))
@@ -78,8 +80,8 @@
 	assert.Assert(t, l.record("b", "10.0.0.1:1", 300, 1), "the same id again, with a new start")
 }
 
-// Guards against an upstream that is removed by the late removal message of the
-// process before it.
+// Guards against an upstream that is removed by a delayed removal of the process
+// that had the same id before.
 func TestOnlyTheNamedProcessIsRemoved(t *testing.T) {
 	l := newLog(t)
 	l.record("a", "10.0.0.1:1", 200, 1)
@@ -92,7 +94,8 @@
 	assert.Assert(t, remove(200))
 }
 
-// Guards against two leaders that order different upstreams from the same state.
+// Guards against two leaders that order the promotion of different upstreams
+// from the same state.
 func TestOrdersFollowEachOther(t *testing.T) {
 	l := newLog(t)
 	assert.Assert(t, l.order("a", 0))
@@ -106,8 +109,8 @@
 	assert.Assert(t, done.Primary == "b" && !done.OrderOpen)
 }
 
-// Guards against state that a snapshot leaves out, and against states handed out
-// that change later.
+// Guards against parts of the state that are missing from a snapshot, and against
+// returned states that change later.
 func TestSnapshotHoldsTheWholeState(t *testing.T) {
 	l := newLog(t)
 	l.store(7, "seven")
--- a/site/view.go
+++ b/site/view.go
@@ -9,13 +9,14 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// View is what a proxy knows of the site. It is immutable.
+// View is the state of the site as a proxy uses it, indexed for look-ups. It is
+// immutable.
 type View struct {
 	// Index is the log index up to which the view is complete.
 	Index uint64
 	// ConfigVersion is 0 before the first configuration.
 	ConfigVersion uint64
-	// TransactionIdle is how long a transaction may rest; 0 for no limit.
+	// TransactionIdle is how long a transaction may be idle; 0 for no limit.
 	TransactionIdle time.Duration
 	// Proxies is how many proxies share the upstreams, at least 1.
 	Proxies int
@@ -37,8 +38,9 @@
 	Upstreams []*pb.SiteUpstream
 }
 
-// Route returns the route of a database. With several prefixes, the shortest
-// one counts, because database names carry no path.
+// Route returns the route of a database. If the database has several prefixes,
+// that is the route with the shortest one, because a caller names only a
+// database and no path.
 func (v *View) Route(database string) (*pb.SiteRoute, bool) {
 	r, ok := v.routes[database]
 	return r, ok
@@ -56,7 +58,8 @@
 // Upstream returns an upstream of the group, or nil.
 func (g *GroupView) Upstream(id string) *pb.SiteUpstream { return find(g.Upstreams, id) }
 
-// ViewParts are the parts of a view; each may come from another update.
+// ViewParts are the parts from which a view is built. A proxy may receive them in
+// different updates.
 type ViewParts struct {
 	Index        uint64
 	Config       *pb.SiteConfig
--- a/sitecontrol/announce.go
+++ b/sitecontrol/announce.go
@@ -13,11 +13,12 @@
 	"lovageslip/site"
 )
 
-// announceTimeout bounds one announcement; its sender waits for a second.
+// announceTimeout bounds the handling of one announcement. It is shorter than
+// the second for which the sender waits for an answer.
 const announceTimeout = 900 * time.Millisecond
 
-// AnnounceUpstream records an announcement with the leader. It returns nil
-// once all that the announcement changes is committed.
+// AnnounceUpstream passes an upstream's announcement to the leading control
+// host. It returns nil once every change that results from it is committed.
 func (s *Server) AnnounceUpstream(ctx context.Context, u *pb.SiteUpstream) error {
 	return s.announce(ctx, u, false)
 }
@@ -61,7 +62,7 @@
 	state, _, _ := s.o.State.Current()
 	record := site.Upstream(state, u.Id)
 	if !s.noteAnnouncement(u, record) {
-		s.log.Debug("announcement is late and changes nothing", "upstream", u.Id, "sequence", u.Sequence)
+		s.log.Debug("announcement ignored: a newer one of the upstream is known", "upstream", u.Id, "sequence", u.Sequence)
 		return nil
 	}
 	if record != nil && sameUpstream(u, record) {
@@ -81,8 +82,9 @@
 	return err
 }
 
-// noteAnnouncement reports whether the announcement is newer than all that
-// this host and the log have of the upstream.
+// acceptAnnouncement reports whether an announcement is newer than the last one
+// that this host received from the upstream and than the upstream's record in
+// the log. If so, it becomes the last one received.
 func (s *Server) noteAnnouncement(u, record *pb.SiteUpstream) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +99,8 @@
 	return true
 }
 
-// forget lets the same announcement be sent again after it was not recorded.
+// forgetAnnouncement makes a retry of an announcement that could not be
+// committed count as new.
 func (s *Server) forget(u *pb.SiteUpstream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +109,8 @@
 	}
 }
 
-// sameUpstream compares all but the sequence, which changes each time.
+// sameUpstream reports whether two announcements are equal, apart from the
+// sequence number, which rises with each announcement.
 func sameUpstream(a, b *pb.SiteUpstream) bool {
 	copied := proto.Clone(a).(*pb.SiteUpstream)
 	copied.Sequence = b.Sequence
@@ -127,7 +131,8 @@
 	return err
 }
 
-// EndUpstream removes an upstream that ends by itself.
+// EndUpstream removes an upstream that has announced its own shutdown. Like
+// AnnounceUpstream, it returns nil once the change is committed.
 func (s *Server) EndUpstream(ctx context.Context, id string) error {
 	return s.announce(ctx, &pb.SiteUpstream{Id: id}, true)
 }
--- a/sitecontrol/clients.go
+++ b/sitecontrol/clients.go
@@ -7,8 +7,8 @@
 	"lovageslip/gen/lovageslip/v1/lovageslipv1connect"
 )
 
-// Clients are clients of the site service, one for each internal address. It is
-// safe for concurrent use.
+// Clients caches clients of the site service, one for each internal address of
+// a control host. It is safe for concurrent use.
 type Clients struct {
 	http *http.Client
 
@@ -17,12 +17,13 @@
 	byAddress map[string]lovageslipv1connect.SiteServiceClient
 }
 
-// NewClients returns clients that send their calls through one HTTP client.
+// NewClients returns an empty cache; its clients send their calls through the
+// given HTTP client.
 func NewClients(client *http.Client) *Clients {
 	return &Clients{http: client, byAddress: make(map[string]lovageslipv1connect.SiteServiceClient)}
 }
 
-// At returns the client of the host at an address.
+// ForAddress returns the client of the control host at an internal address.
 func (c *Clients) At(address string) lovageslipv1connect.SiteServiceClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/sitecontrol/document.go
+++ b/sitecontrol/document.go
@@ -8,8 +8,9 @@
 	"lovageslip/fault"
 )
 
-// pack compresses a document for the log, whose entries are limited. Documents
-// repeat the names of their fields for each route and shrink to a tenth.
+// compressDocument compresses a configuration document with gzip for the log,
+// whose entries are limited in size. Documents repeat the names of their fields
+// for each route, so that they shrink to about a tenth.
 func pack(document []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
@@ -22,7 +23,8 @@
 	return b.Bytes(), nil
 }
 
-// unpack returns a document as it was sent; nil if there is none.
+// decompressDocument returns a stored document as the operator sent it, or nil
+// if none is stored.
 func unpack(packed []byte) ([]byte, error) {
 	if len(packed) == 0 {
 		return nil, nil
--- a/sitecontrol/host_test.go
+++ b/sitecontrol/host_test.go
@@ -18,19 +18,20 @@
 	"lovageslip/upstream"
 )
 
-// fakeUpstreams answers probes and promotions for all hosts of a test.
+// fakeUpstreams is the Prober and Promoter of all hosts of a test.
 type fakeUpstreams struct {
 	mu       sync.Mutex
-	primary  map[string]string // upstream by group
+	primary  map[string]string // upstream id by group
 	dead     map[string]bool
 	received map[string]upstream.Offset
 	term     upstream.Term
 	orders   []order
 	// steppedDown lists the upstreams that were asked to step down.
 	steppedDown []string
-	// lost is set if a promotion rolled commits back.
+	// lost is set if an upstream was promoted that had not received all
+	// commits of the others that run.
 	lost bool
-	// lose makes promotions be carried out without an answer.
+	// lose makes promotions take effect and return an error.
 	lose bool
 }
 
@@ -106,7 +107,7 @@
 	return append([]order(nil), f.orders...)
 }
 
-// testHost is a control host with its own data folder.
+// testHost is a control host with its own data folder, served over HTTP.
 type testHost struct {
 	t       *testing.T
 	address string
@@ -155,7 +156,7 @@
 	}
 }
 
-// cluster starts control hosts that form a cluster.
+// startCluster starts control hosts that are members of one consensus.
 func cluster(t *testing.T, count int, fake *fakeUpstreams) []*testHost {
 	t.Helper()
 	var listeners []net.Listener
@@ -222,7 +223,7 @@
 	return site.Group(state, group).GetPrimary()
 }
 
-// listenAt waits until an address is free again.
+// listenAt listens on an address as soon as it is free again.
 func listenAt(t *testing.T, address string) net.Listener {
 	t.Helper()
 	var l net.Listener
--- a/sitecontrol/lead.go
+++ b/sitecontrol/lead.go
@@ -12,12 +12,15 @@
 
 const (
 	leadInterval = 50 * time.Millisecond
-	// proxiesSettle is how long the count of proxies must be lower before
-	// it is recorded, so that a restart of a proxy changes nothing.
+	// proxiesSettle is how long the number of running proxies must stay below
+	// the recorded one before the lower number is recorded, so that the
+	// restart of a proxy changes nothing.
 	proxiesSettle = 10 * time.Second
 )
 
-// Run does the host's part until ctx ends.
+// Run runs the background tasks of a control host until ctx ends: it joins the
+// members, relays the proxies' reports, and does the leader's duties while this
+// host leads.
 func (s *Server) Run(ctx context.Context) {
 	var group conc.WaitGroup
 	defer group.Wait()
@@ -26,7 +29,7 @@
 	group.Go(func() { s.runLeadership(ctx) })
 }
 
-// runLeadership runs the duties of each term in which this host leads.
+// runLeadership runs the leader's duties in each term in which this host leads.
 func (s *Server) runLeadership(ctx context.Context) {
 	for pause.For(ctx, leadInterval) {
 		if term, leads := s.o.Consensus.Leadership(); leads {
@@ -40,14 +43,15 @@
 	var group conc.WaitGroup
 	defer group.Wait()
 	defer cancel()
-	s.log.Info("leading the control hosts", "term", term)
+	s.log.Info("this host leads the control hosts", "term", term)
 	s.startSeen()
 	group.Go(func() { s.runMembership(ctx) })
 	group.Go(func() { s.runGroups(ctx) })
 	group.Go(func() { s.runProxyCount(ctx) })
 	for pause.For(ctx, leadInterval) {
-		// A lapsed lease ends the duties only if it isn't renewed: each of
-		// them checks the lease by logging what it does.
+		// An expired lease may be renewed within the same term, so it does not
+		// end the duties. Each of them checks the lease by proposing to the log
+		// what it does.
 		if s.o.Consensus.Status().Term != term {
 			break
 		}
@@ -55,11 +59,12 @@
 			break
 		}
 	}
-	s.log.Info("no longer leading the control hosts", "term", term)
+	s.log.Info("this host no longer leads the control hosts", "term", term)
 }
 
-// startSeen counts each upstream as announced just now at the start of a
-// term.
+// resetAnnouncementTimes counts each recorded upstream as announced at the
+// start of a term, because a new leader does not know when the last
+// announcement reached the one before it.
 func (s *Server) startSeen() {
 	state, _, _ := s.o.State.Current()
 	s.mu.Lock()
@@ -80,8 +85,9 @@
 	}
 }
 
-// runProxyCount records how many proxies share the upstreams. A higher count
-// counts at once, since the upstreams' connections would run out.
+// runProxyCount records how many proxies share the upstreams' connections. A
+// higher number is recorded at once, because the upstreams would run out of
+// connections otherwise.
 func (s *Server) runProxyCount(ctx context.Context) {
 	lowerSince := now()
 	for pause.For(ctx, time.Second) {
--- a/sitecontrol/membership.go
+++ b/sitecontrol/membership.go
@@ -15,18 +15,19 @@
 
 const (
 	membershipInterval = 250 * time.Millisecond
-	// joinAfter is how long a host without a leader waits before it asks to
+	// joinAfter is how long a host waits without a leader before it asks to
 	// be added. Elections take less than a second.
 	joinAfter   = 1500 * time.Millisecond
 	joinTimeout = time.Second
-	// removeAfter is how long a surplus voter is silent before it is
-	// removed. A voter whose successor has joined is meant.
+	// removeAfter is how long a voter beyond the needed number must be silent
+	// before it is removed. Such a voter has usually ended after the host that
+	// replaces it has joined.
 	removeAfter = time.Second
 )
 
-// InitialMembers returns the hosts that form the cluster at the first start of a
-// site, and nil for any other host, which asks to be added. The seeds of the
-// first start are the same on all hosts.
+// InitialMembers returns the members of the consensus at the first start of a
+// site if the host at address is one of them, and nil if it is not: it then asks
+// to be added. All hosts have the same seeds at the first start.
 func InitialMembers(address string, seeds []string) []consensus.Member {
 	chosen := founders(seeds)
 	if !slices.Contains(chosen, address) {
@@ -39,8 +40,8 @@
 	return members
 }
 
-// founders returns as many seeds as may be members, spread over the sorted list,
-// so that they are in different data centres.
+// initialAddresses returns as many seeds as may be members. It picks them evenly
+// from the sorted list, so that they are in different data centres.
 func founders(seeds []string) []string {
 	sorted := slices.Sorted(slices.Values(seeds))
 	count := min(len(sorted), maxMembers)
@@ -50,8 +51,8 @@
 	return sorted[:count]
 }
 
-// runJoin asks for membership while this host hears from no leader: it is new,
-// has lost its disk, or was replaced while it was away.
+// runJoin asks for membership while this host knows no leader, because it is
+// new, has lost its disk, or was replaced while it was down.
 func (s *Server) runJoin(ctx context.Context) {
 	lastLeader := now()
 	if len(s.o.Consensus.Members()) == 0 {
@@ -77,37 +78,37 @@
 	s.standby = nil
 }
 
-// leaderlessFor returns how long this host has known no leader, or has run
-// without one.
+// timeWithoutLeader returns the time since this host last knew a leader, or
+// since it started if it has known none.
 func (s *Server) leaderlessFor() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return now().Sub(s.leaderAt)
 }
 
-// maxAsked bounds the peers that are asked in one round: on a large site most of
-// the seeds only stand by, and name the members.
+// maxPeersAsked bounds the peers that are asked in one round. On a large site
+// most of the seeds stand by, and each of them can name the members.
 const maxAsked = 5
 
-// join asks some of the peers until one has an answer. It reports whether this
-// host is not needed.
+// join asks some of the peers to add this host as a member, until one of them
+// has decided. It reports whether this host stands by because it is not needed.
 func (s *Server) join(ctx context.Context) (standsBy bool) {
 	peers := s.peerAddresses()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	for _, address := range peers[:min(len(peers), maxAsked)] {
 		response, err := s.askToJoin(ctx, address)
 		if err != nil {
-			s.log.Info("not joined", "through", address, "error", err)
+			s.log.Info("request to join the control hosts failed", "through", address, "error", err)
 			continue
 		}
 		switch response.Outcome {
 		case pb.JoinOutcome_JOIN_OUTCOME_ADDED:
-			s.log.Info("joined the control hosts", "through", address)
+			s.log.Info("this host joined the control hosts", "through", address)
 			s.setStandby(nil)
 			return false
 		case pb.JoinOutcome_JOIN_OUTCOME_NOT_NEEDED:
 			if s.standbyMembers() == nil {
-				s.log.Info("standing by, enough control hosts are members", "members", response.Members, "leader", response.Leader)
+				s.log.Info("this host stands by: enough control hosts are members", "members", response.Members, "leader", response.Leader)
 			}
 			s.setStandby(&standby{members: response.Members, leader: response.Leader})
 			return true
@@ -129,8 +130,8 @@
 	return response.Msg, nil
 }
 
-// learn keeps the addresses of hosts that may know more, for a host whose own
-// seeds do not.
+// setDiscoveredPeers stores the control hosts that a peer has named. They are
+// asked next, because none of this host's own seeds may be able to add it.
 func (s *Server) learn(members []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +152,8 @@
 	return slices.DeleteFunc(addresses, func(a string) bool { return a == s.o.Address })
 }
 
-// keepMembership removes members that no longer count, one at a time.
+// removeUnneededMember removes one member that is not needed any more, if there
+// is one.
 func (s *Server) keepMembership(ctx context.Context) {
 	m, reason, ok := s.superfluous(s.o.Consensus.Status().Members)
 	if !ok {
@@ -160,12 +162,13 @@
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	err := s.o.Consensus.RemoveMember(ctx, m.Name)
-	s.log.Info("removing a control host", "member", m.Name, "reason", reason, "silent", m.Silent, "error", err)
+	s.log.Info("removal of a control host from the members requested", "member", m.Name, "reason", reason, "silent", m.Silent, "error", err)
 }
 
-// superfluous returns a member to be removed. A member that lost its disk has
-// no vote until it is added again. Of more voters than the tolerated losses
-// need, the one that is silent for longest has been replaced.
+// memberToRemove returns a member that is to be removed, and the reason. A
+// member that has lost its disk has no vote until it is removed and added again.
+// If there are more voters than the tolerated losses need, the one that has been
+// silent for longest has been replaced.
 func (s *Server) superfluous(members []consensus.MemberStatus) (consensus.MemberStatus, string, bool) {
 	voters := 0
 	var silent consensus.MemberStatus
--- a/sitecontrol/membership_test.go
+++ b/sitecontrol/membership_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a cluster that all of very many seeds form, and against hosts
-// that disagree on who forms it.
+// Guards against a first start in which every one of many seeds becomes a member,
+// and against hosts that compute different initial members.
 func TestFoundersAreFewAndTheSameEverywhere(t *testing.T) {
 	var seeds []string
 	for centre := range 3 {
--- a/sitecontrol/positions.go
+++ b/sitecontrol/positions.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// sampleAge is how old the position of a group may be before it is asked
-	// for again. Ages that operators ask for are above a second.
+	// sampleAge is the age from which a group's position is asked for again.
+	// The staleness bounds that operators set are above a second.
 	sampleAge     = 200 * time.Millisecond
 	sampleTimeout = 400 * time.Millisecond
-	// sampleWait is how long a call waits for a sample that is too old to
-	// be of use.
+	// sampleWait is how long a call waits for a new sample if the newest one
+	// is older than sampleMaxAge, which makes it useless to callers.
 	sampleWait    = 250 * time.Millisecond
 	sampleUseless = time.Second
 )
 
-// sampledGroup is the newest position of a group's primary. Server.mu guards
-// it.
+// positionSample is the newest known position of a group's primary. Server.mu
+// guards it.
 type sampledGroup struct {
 	position upstream.Position
 	askedAt  time.Time
-	// running is closed when the sample that is being taken has ended; nil
-	// if none is.
+	// done is closed when the call that takes the next sample has ended; it
+	// is nil if no such call is running.
 	running chan struct{}
 }
 
-// Positions implements SiteService. The control hosts ask each primary once for
-// all proxies, so that the cost doesn't grow with their number.
+// Positions implements SiteService. It answers from samples that are shared by
+// all proxies, so that the load on a primary doesn't grow with their number.
 func (s *Server) Positions(ctx context.Context, r *connect.Request[pb.PositionsRequest]) (*connect.Response[pb.PositionsResponse], error) {
 	response := &pb.PositionsResponse{}
 	for _, group := range r.Msg.Groups {
@@ -65,13 +65,15 @@
 		Group:  group,
 		Term:   uint64(g.position.Term),
 		Offset: uint64(g.position.Offset),
-		// Rounded up: the proxy relies on the age being no less.
+		// Rounded up, because the proxy relies on the position being no older
+		// than this.
 		AgeMs: uint32(now().Sub(g.askedAt)/time.Millisecond) + 1,
 	}
 }
 
-// startSample takes a sample in the background if one is due. It returns a
-// channel that is closed at its end, and the age of the newest one.
+// startSample takes a sample of a group's position in the background if one is
+// due. It returns a channel that is closed when that has ended, nil if none is
+// due, and the age of the newest sample.
 func (s *Server) startSample(group string) (running <-chan struct{}, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/sitecontrol/primary.go
+++ b/sitecontrol/primary.go
@@ -17,46 +17,54 @@
 const (
 	groupInterval = 100 * time.Millisecond
 	// probeInterval is how often a primary is probed while nothing points to
-	// a failure. The probe needs no slot.
+	// a failure. The probe needs no slot of the upstream.
 	probeInterval = 300 * time.Millisecond
 	probeTimeout  = 400 * time.Millisecond
-	// primaryLostAfter is how long a primary answers neither this host nor
-	// most proxies before it is replaced. It covers a lost packet that is
-	// sent again and a round trip between regions.
+	// primaryLostAfter is how long a primary must fail to answer this host,
+	// while at least half of the proxies cannot reach it either, before it is
+	// replaced. It covers the retransmission of a lost packet and a round trip
+	// between regions.
 	primaryLostAfter = 700 * time.Millisecond
-	// missedAfter is how long half of the proxies must miss a primary that
-	// answers this host.
+	// missedAfter is how long at least half of the proxies must fail to reach
+	// a primary that answers this host before it is replaced.
 	missedAfter = time.Second
-	// announcedWithin is how long after its last announcement a primary
-	// that few proxies miss is taken to be only cut off from this host.
+	// announcedWithin is how long after its last announcement a primary that
+	// does not answer is taken to be cut off from this host only, if there
+	// are no proxies to ask.
 	announcedWithin = 3 * time.Second
-	// settleTimeout bounds the wait for a successor to receive the last
-	// commits: replicas are tens of milliseconds behind on a good day.
+	// settleTimeout bounds the wait until a successor has received the last
+	// commits. Replicas are usually tens of milliseconds behind.
 	settleTimeout  = 800 * time.Millisecond
 	settleInterval = 20 * time.Millisecond
 	promoteTimeout = 1500 * time.Millisecond
-	// promoteRetry is the pause before an order without an answer is given
-	// again.
+	// promoteRetry is the pause before a promotion order that had no effect
+	// yet is sent to the platform again.
 	promoteRetry = 900 * time.Millisecond
-	// orderLifetime is how long an order may take before another upstream
-	// is named. The platform may carry it out seconds later.
+	// orderLifetime is how long the promotion of an upstream may take before
+	// another one is ordered. The platform may carry an order out seconds
+	// after it was sent.
 	orderLifetime = 2500 * time.Millisecond
 )
 
-// groupWatch watches the primary of one group for one leader.
+// groupWatch is the leader's watch over the primary of one group.
 type groupWatch struct {
 	s     *Server
 	group string
-	// probedAt is when the last probe began, lostSince when the first of a
-	// series of failed probes did.
+	// probedAt is when the last probe began. unavailableSince is since when
+	// this host has found no primary that answers, zero if the last probe
+	// found one.
 	probedAt  time.Time
 	lostSince time.Time
-	// missedSince is since when half of the proxies cannot reach it.
+	// cutOffSince is since when at least half of the proxies cannot reach the
+	// primary, zero if fewer cannot.
 	missedSince time.Time
-	// lastUnreachable is how many proxies missed it at the last look.
+	// lastUnreachableCount is how many proxies could not reach the primary at
+	// the last check.
 	lastUnreachable uint32
-	orderedAt       time.Time
-	givenAt         time.Time
+	// orderedAt is when the current promotion order was logged, orderSentAt
+	// when it was last sent to the platform.
+	orderedAt time.Time
+	givenAt   time.Time
 }
 
 func (s *Server) runGroups(ctx context.Context) {
@@ -76,7 +84,8 @@
 	}
 }
 
-// upstreams returns the group's upstreams in the present state.
+// upstreams returns the group's recorded primary, nil if it has none, its other
+// upstreams and its record.
 func (w *groupWatch) upstreams() (primary *pb.SiteUpstream, others []*pb.SiteUpstream, g *pb.SiteGroupState) {
 	state, _, _ := w.s.o.State.Current()
 	g = site.Group(state, w.group)
@@ -92,6 +101,8 @@
 	return primary, others, g
 }
 
+// step does what the group needs now: it adopts a primary that announced itself,
+// follows up an open order, or finds, replaces or probes the primary.
 func (w *groupWatch) step(ctx context.Context) {
 	primary, others, g := w.upstreams()
 	if w.adoptAnnounced(ctx, primary, others) {
@@ -109,8 +120,8 @@
 	}
 }
 
-// adoptAnnounced takes over a primary that announces itself while the recorded
-// one is gone or announces that it is a replica.
+// adoptAnnounced records an upstream that announces itself as the primary while
+// the recorded primary is gone or announces that it is a replica.
 func (w *groupWatch) adoptAnnounced(ctx context.Context, primary *pb.SiteUpstream, others []*pb.SiteUpstream) bool {
 	if primary != nil && primary.Primary {
 		return false
@@ -131,7 +142,8 @@
 	return err == nil
 }
 
-// probePrimary replaces a primary that is lost.
+// checkPrimary probes the primary if a probe is due, and replaces it if it is
+// lost. Reports of proxies that cannot reach it make a probe due at once.
 func (w *groupWatch) probePrimary(ctx context.Context, primary *pb.SiteUpstream, others []*pb.SiteUpstream, g *pb.SiteGroupState) {
 	unreachable, proxies := w.s.complaints(primary.Id)
 	if unreachable == 0 && w.lostSince.IsZero() && now().Sub(w.probedAt) < probeInterval {
@@ -158,21 +170,24 @@
 	}
 }
 
-// evidence is what is known of a primary that may be lost.
+// evidence is what decides whether a primary is lost.
 type evidence struct {
-	// unanswered is how long this host's probes have failed.
+	// unanswered is for how long this host's probes have failed.
 	unanswered time.Duration
-	// missed is how long half of the proxies or more cannot reach it.
+	// missed is for how long at least half of the proxies have not been able
+	// to reach the primary.
 	missed time.Duration
-	// proxies is how many proxies there are.
+	// proxies is how many proxies may be served by the primary.
 	proxies uint32
-	// announced is the time since the primary announced itself.
+	// announced is the time since the primary last announced itself.
 	announced time.Duration
 }
 
-// lost decides from three views. Most proxies count for more than this host:
-// a primary that they cannot reach serves few, and one that they reach serves
-// although the control hosts are cut off from it.
+// lost decides from the probes of this host, the reports of the proxies and the
+// primary's announcements whether the primary is lost. The proxies count for
+// more than this host: a primary that most of them cannot reach serves few
+// callers, and one that they reach still serves them, even if the control hosts
+// are cut off from it.
 func (e evidence) lost() bool {
 	switch {
 	case e.missed >= missedAfter:
@@ -180,16 +195,19 @@
 	case e.unanswered >= primaryLostAfter && e.missed > 0:
 		return true
 	default:
-		// No proxy may have anything to send to it.
+		// Without proxies that use the primary only its announcements can show
+		// that it still runs.
 		return e.proxies == 0 && e.unanswered >= primaryLostAfter && e.announced > announcedWithin
 	}
 }
 
+// gatherEvidence updates since when the proxies cannot reach the primary, and
+// returns the evidence for its loss.
 func (w *groupWatch) gather(primary *pb.SiteUpstream, unreachable, proxies uint32) evidence {
 	at := now()
 	if unreachable != w.lastUnreachable {
 		w.lastUnreachable = unreachable
-		w.s.log.Info("proxies that miss the primary", "group", w.group, "upstream", primary.Id, "missing_it", unreachable, "proxies", proxies)
+		w.s.log.Info("number of proxies that cannot reach the primary changed", "group", w.group, "upstream", primary.Id, "missing_it", unreachable, "proxies", proxies)
 	}
 	if unreachable == 0 || 2*unreachable < proxies {
 		w.missedSince = time.Time{}
@@ -208,7 +226,8 @@
 	return e
 }
 
-// probeLead returns nil if the upstream leads.
+// probePrimaryRole returns nil if the upstream answers as a primary, and the
+// error of Prober.Position otherwise.
 func (w *groupWatch) probeLead(ctx context.Context, u *pb.SiteUpstream) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -222,7 +241,7 @@
 	return w.s.o.Prober.Status(ctx, u)
 }
 
-// probed is the answer of one upstream.
+// probeResult is the answer of one upstream, or the error of its probe.
 type probed struct {
 	upstream *pb.SiteUpstream
 	status   UpstreamStatus
@@ -245,8 +264,8 @@
 	return answers
 }
 
-// findPrimary records the upstream that leads in the newest term; if none
-// does, it names one.
+// findPrimary records the upstream that answers as the primary of the newest
+// term. If none does for primaryLossTimeout, it orders the promotion of one.
 func (w *groupWatch) findPrimary(ctx context.Context, upstreams []*pb.SiteUpstream, g *pb.SiteGroupState) {
 	var leader *probed
 	for _, p := range w.probeAll(ctx, upstreams) {
@@ -258,7 +277,7 @@
 		}
 	}
 	if leader != nil {
-		w.record(ctx, leader.upstream, "its status says so")
+		w.record(ctx, leader.upstream, "its status reports the primary role")
 		return
 	}
 	if w.lostSince.IsZero() {
@@ -269,8 +288,9 @@
 	}
 }
 
-// replace orders the promotion of the replica that has received most. An
-// upstream that is leaving is named only if there is no other.
+// replace logs an order to promote the replica that has received most, and sends
+// it to the platform. An upstream that is leaving is chosen only if there is no
+// other.
 func (w *groupWatch) replace(ctx context.Context, primary *pb.SiteUpstream, others []*pb.SiteUpstream, g *pb.SiteGroupState, reason string) {
 	if now().Sub(w.orderedAt) < promoteRetry {
 		return
@@ -294,9 +314,9 @@
 	w.give(ctx, best.upstream.Id, result.Index)
 }
 
-// settle ends the lead of a primary that still answers and waits until its
-// successor has received all that it acknowledged. Without it, a change of
-// primary that is planned would lose the commits of the last moments.
+// stepDownPrimary asks a primary that still answers to step down, and waits
+// until its successor has received all commits that it acknowledged. Otherwise a
+// planned change of primary would lose the commits that were not yet replicated.
 func (w *groupWatch) settle(ctx context.Context, primary, successor *pb.SiteUpstream) {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
@@ -338,8 +358,9 @@
 	return best
 }
 
-// better prefers an upstream that stays, then one whose position is known and
-// later.
+// preferred reports whether p is a better successor than q: one that is not
+// leaving, or else one that has received more. A busy upstream reports no
+// position and counts as having received least.
 func better(p, q probed) bool {
 	if p.upstream.Leaving != q.upstream.Leaving {
 		return q.upstream.Leaving
@@ -347,24 +368,26 @@
 	return q.status.Received.Before(p.status.Received)
 }
 
-// give sends an order to the platform. An answer that it was carried out is
-// confirmed by the upstream itself.
+// sendOrder sends a promotion order to the platform. Its answer is not proof of
+// the promotion: checkOrder asks the upstream itself.
 func (w *groupWatch) give(ctx context.Context, id string, token uint64) {
 	w.givenAt = now()
 	ctx, cancel := context.WithTimeout(ctx, promoteTimeout)
 	defer cancel()
 	err := w.s.o.Promoter.Promote(ctx, w.group, id, w.s.o.Name, token)
 	w.s.metrics.Counter("promotions_ordered_total").Inc(1)
-	w.s.log.Info("order given", "group", w.group, "upstream", id, "token", token, "error", err)
+	w.s.log.Info("promotion order sent to the platform", "group", w.group, "upstream", id, "token", token, "error", err)
 	var refused *PromotionRefused
 	if errors.As(err, &refused) {
-		// Another token has overtaken this one, or the upstream is down.
+		// A newer token was accepted before this one, or the upstream is down.
+		// The order counts as timed out, so that another upstream is ordered.
 		w.orderedAt = now().Add(-orderLifetime)
 	}
 }
 
-// pursueOrder follows an order until an upstream leads or the order has taken
-// too long. Giving it again is safe: the token lets it take effect once.
+// checkOrder follows up an open order: it records the ordered upstream once it is
+// the primary, orders another one after orderTimeout, and until then sends the
+// order again. That is safe, because an order takes effect once for its token.
 func (w *groupWatch) pursueOrder(ctx context.Context, g *pb.SiteGroupState) {
 	if w.orderedAt.IsZero() {
 		w.orderedAt = now()
--- a/sitecontrol/primary_test.go
+++ b/sitecontrol/primary_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a primary that is kept although most proxies are cut off from
-// it, and against the replacement of one that only the control hosts miss.
+// Guards against a primary that is kept although most proxies cannot reach it,
+// and against the replacement of one that only the control hosts cannot reach.
 func TestPrimaryLostByEvidence(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/sitecontrol/promotion_test.go
+++ b/sitecontrol/promotion_test.go
@@ -8,7 +8,8 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// group announces p (the primary), r1 and r2 through a host.
+// announceGroup announces the upstreams p (the primary), r1 and r2 through a
+// host.
 func announceGroup(t *testing.T, h *testHost, fake *fakeUpstreams) {
 	t.Helper()
 	fake.set(func() {
@@ -21,7 +22,8 @@
 	waitFor(t, "the primary known", func() bool { return primaryOf(h, "g") == "p" })
 }
 
-// complain makes most proxies miss an upstream until the test ends.
+// reportUnreachable stores reports of three proxies that cannot reach an
+// upstream. They expire, so that callers repeat the call.
 func complain(h *testHost, id string) {
 	for _, name := range []string{"a", "b", "c"} {
 		h.server.mu.Lock()
@@ -33,7 +35,7 @@
 }
 
 // Guards against a lost primary that is never replaced, and against a successor
-// that holds less than another.
+// that has received less than another replica.
 func TestLostPrimaryIsReplacedByTheMostAdvanced(t *testing.T) {
 	fake := newFakeUpstreams()
 	hosts := cluster(t, 3, fake)
@@ -48,8 +50,8 @@
 	})
 }
 
-// Guards against an order without an answer that is given again as a new one,
-// and against two orders with one token.
+// Guards against a promotion order that is repeated with a new token or for
+// another upstream after its answer was lost.
 func TestOrderWithoutAnAnswerKeepsItsToken(t *testing.T) {
 	fake := newFakeUpstreams()
 	fake.lose = true
@@ -66,8 +68,8 @@
 	}
 }
 
-// Guards against a second order with the token of an earlier one: the platform
-// would carry out whichever comes last.
+// Guards against a second order with the token of an earlier one. The platform
+// would then carry out the one that arrives last.
 func TestTokensOfOrdersRise(t *testing.T) {
 	fake := newFakeUpstreams()
 	hosts := cluster(t, 3, fake)
@@ -85,8 +87,9 @@
 	assert.Assert(t, first.id != last.id && first.token < last.token, "%v", orders)
 }
 
-// Guards against a planned change of primary that rolls back commits which were
-// acknowledged moments before it.
+// Guards against a planned change of primary that rolls back commits which the
+// old primary acknowledged just before it, and which its successor had not yet
+// received.
 func TestPlannedChangeLosesNoCommit(t *testing.T) {
 	fake := newFakeUpstreams()
 	hosts := cluster(t, 3, fake)
--- a/sitecontrol/report.go
+++ b/sitecontrol/report.go
@@ -14,21 +14,25 @@
 )
 
 const (
-	// ReportInterval is how often a reporter without news reports.
+	// ReportInterval is how often a proxy or control host repeats a report
+	// that has not changed and names no unreachable primary.
 	ReportInterval = 2 * time.Second
 	// reportLifetime is how long a report counts.
 	reportLifetime = 3 * ReportInterval
-	// complaintLifetime is how long a complaint counts; those who complain
-	// repeat it twice in that time.
+	// complaintLifetime is how long the unreachable upstreams of a report
+	// count. The report is repeated twice in that time.
 	complaintLifetime = 700 * time.Millisecond
-	// ComplaintInterval is how often a complaint is repeated.
+	// ComplaintInterval is how often a report with unreachable upstreams is
+	// repeated.
 	ComplaintInterval = 300 * time.Millisecond
-	// relayInterval is how often a control host passes on what changed.
+	// relayInterval is how often a control host checks whether the sum of its
+	// reports is due to be relayed to the leader.
 	relayInterval = 100 * time.Millisecond
 	reportTimeout = 600 * time.Millisecond
 )
 
-// Report implements SiteService.
+// Report implements SiteService. Proxies and, for a leader, the other control
+// hosts call it.
 func (s *Server) Report(_ context.Context, r *connect.Request[pb.ReportRequest]) (*connect.Response[pb.ReportResponse], error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,8 +40,8 @@
 	return connect.NewResponse(&pb.ReportResponse{}), nil
 }
 
-// gatherReports adds up the reports that still count: those of proxies and,
-// for a leader, those that other control hosts relay.
+// gatherReports adds up the reports that have not expired: those of proxies and,
+// if relayed is set, the sums that other control hosts have relayed to a leader.
 func (s *Server) gatherReports(relayed bool) *pb.ReportRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +70,8 @@
 	return sum
 }
 
-// listed returns counts by upstream in a fixed order.
+// sortedComplaints returns the number of proxies for each upstream, sorted by
+// upstream, so that equal sums give equal messages.
 func listed(counts map[string]uint32) []*pb.Complaint {
 	var list []*pb.Complaint
 	for id, n := range counts {
@@ -85,10 +90,10 @@
 	return 0
 }
 
-// complaints returns how many proxies cannot reach an upstream, and how many may
-// be served by it. Proxies that were counted and have fallen silent are among
-// the latter: they may be cut off together with the upstream. Those that have
-// had nothing to ask it are not.
+// countUnreachable returns how many proxies cannot reach an upstream, and how
+// many may be served by it. The latter include proxies that are recorded but do
+// not report any more, because they may be cut off together with the upstream.
+// They leave out proxies that have had no request for the upstream.
 func (s *Server) complaints(id string) (unreachable, proxies uint32) {
 	state, _, _ := s.o.State.Current()
 	sum := s.gatherReports(true)
@@ -96,7 +101,8 @@
 	return countFor(sum.Complaints, id), proxies - min(countFor(sum.Untried, id), proxies)
 }
 
-// runRelay passes the sum of the reports on to the leader.
+// runRelay sends the sum of the proxies' reports to the leader, while another
+// host leads.
 func (s *Server) runRelay(ctx context.Context) {
 	var last *pb.ReportRequest
 	var sentAt time.Time
--- a/sitecontrol/report_test.go
+++ b/sitecontrol/report_test.go
@@ -10,8 +10,9 @@
 	"lovageslip/site"
 )
 
-// Guards against the replacement of a primary that is cut off together with
-// most proxies: the few that remain all miss it, while it serves the others.
+// Guards against the replacement of a primary that is cut off from the control
+// hosts together with most proxies. The few proxies that still report cannot
+// reach it, while it serves the others.
 func TestSilentProxiesCountAgainstComplaints(t *testing.T) {
 	state := site.NewState()
 	command, err := proto.Marshal(&pb.SiteCommand{Command: &pb.SiteCommand_RecordProxies{
@@ -30,8 +31,8 @@
 	assert.Equal(t, proxies, uint32(18))
 }
 
-// Guards against a lost primary that is kept because most proxies have nothing
-// to ask it.
+// Guards against a lost primary that is kept because most proxies have no
+// requests for it, and so cannot notice its loss.
 func TestIdleProxiesDoNotCountForAPrimary(t *testing.T) {
 	s := New(Options{Name: "c1", State: site.NewState()})
 	s.reports["a"] = report{at: now(), message: &pb.ReportRequest{
--- a/sitecontrol/server.go
+++ b/sitecontrol/server.go
@@ -1,7 +1,9 @@
-// Package sitecontrol is the service of a control host: it accepts
-// configurations and announcements, sends the state of the site to proxies,
-// and, while it leads, changes primaries and keeps the membership of the
-// control hosts whole.
+// Package sitecontrol is the service of a control host. It accepts
+// configurations from operators and announcements from upstreams, and streams
+// the state of the site to proxies. On the host that leads the control hosts it
+// also replaces primaries and adds and removes control hosts as members of the
+// consensus. Package platform starts it; proxies call it through package
+// sitewatch.
 package sitecontrol
 
 import (
@@ -27,21 +29,22 @@
 	"lovageslip/upstream"
 )
 
-// UpstreamStatus is an upstream's own report.
+// UpstreamStatus is what an upstream reports about itself.
 type UpstreamStatus struct {
 	Role upstream.Role
-	// Received is the newest position that it holds.
+	// Received is the newest position in the replication log that it holds.
 	Received upstream.Position
 }
 
-// Prober asks an upstream for its status. It returns ErrBusy if the upstream
-// answered that it has no free slot.
+// Prober calls upstreams to ask for their status or to make them step down. It
+// returns *BusyUpstream if the upstream answered that it has no free slot.
 type Prober interface {
 	Status(ctx context.Context, u *pb.SiteUpstream) (UpstreamStatus, error)
-	// Position returns what the upstream holds if it leads, and *NotLeading
-	// if it does not. It needs no slot.
+	// Position returns the position that the upstream holds if it is a
+	// primary, and *NotLeading if it is not. It needs no slot.
 	Position(ctx context.Context, u *pb.SiteUpstream) (upstream.Position, error)
-	// StepDown makes a primary of a lower term a replica.
+	// StepDown makes an upstream that is the primary of a lower term than the
+	// given one a replica, and returns its status after that.
 	StepDown(ctx context.Context, u *pb.SiteUpstream, term upstream.Term) (UpstreamStatus, error)
 }
 
@@ -50,20 +53,21 @@
 
 func (e *BusyUpstream) Error() string { return "upstream " + e.ID + " is busy" }
 
-// NotLeading reports an upstream that answered that it does not lead.
+// NotLeading reports an upstream that answered that it is not a primary.
 type NotLeading struct{ ID string }
 
 func (e *NotLeading) Error() string { return "upstream " + e.ID + " does not lead" }
 
-// Promoter orders a change of primary. A call without an answer may be carried
-// out later; the token then decides whether it still counts. It returns
-// *PromotionRefused if the order was refused.
+// Promoter orders the platform to promote an upstream. A call that fails without
+// an answer may still be carried out later, unless an order with a higher token
+// has been accepted by then. It returns *PromotionRefused if the order was
+// refused.
 type Promoter interface {
 	Promote(ctx context.Context, group, id, holder string, token uint64) error
 }
 
-// PromotionRefused reports an order that a newer token has overtaken or whose
-// upstream does not run.
+// PromotionRefused reports an order that the platform refused, because it has
+// accepted one with a newer token or because the upstream does not run.
 type PromotionRefused struct {
 	Group, Upstream string
 	Token           uint64
@@ -73,15 +77,17 @@
 	return "promotion of " + e.Upstream + " in group " + e.Group + " was refused"
 }
 
-// Options configure a Server.
+// Options configure a Server; New takes them.
 type Options struct {
-	// Name is the host's name, as it appears in orders and logs.
+	// Name is the host's name in promotion orders and reports.
 	Name string
-	// Address is the internal address, and the name in the consensus.
+	// Address is the host's internal address, which is also its name as a
+	// member of the consensus.
 	Address string
 	// Seeds returns internal addresses of control hosts that may be running.
 	Seeds func() []string
-	// MaxLost is how many control hosts may be lost at the same time.
+	// MaxLost is how many control hosts may be lost at the same time without
+	// the loss of the quorum.
 	MaxLost   int
 	Consensus *consensus.Node
 	State     *site.State
@@ -100,22 +106,23 @@
 	metrics tally.Scope
 	clients *Clients
 
-	// admitting lets one host join at a time.
+	// admitting is held while a host is added to the members.
 	admitting sync.Mutex
 	// mu guards the fields below.
 	mu sync.Mutex
-	// reports are the newest ones by reporter.
+	// reports holds the newest report of each reporter.
 	reports map[string]report
-	// seen is when and with what each upstream last announced itself to
-	// this host as the leader.
+	// seen holds, by upstream id, the last announcement that this host
+	// received as the leader, and when. The start of a term resets the times.
 	seen map[string]announcement
-	// standby is set while this host is not needed as a member.
+	// standby is set while this host stands by, and nil otherwise.
 	standby *standby
-	// learned are hosts that another one named when it could not decide.
+	// learned are the control hosts that a peer named when it could not decide
+	// whether this host may join.
 	learned []string
-	// leaderAt is when a leader was last known, or when this host started.
+	// leaderAt is when this host last knew a leader, or when it started.
 	leaderAt time.Time
-	// sampled is what the primaries of groups held.
+	// sampled holds the newest known position of the primary of each group.
 	sampled map[string]*sampledGroup
 }
 
@@ -131,7 +138,8 @@
 
 var _ lovageslipv1connect.SiteServiceHandler = (*Server)(nil)
 
-// New returns a server; Run must be called for it to take part.
+// New returns a server. Run must be called for it to join the members and to do
+// a leader's duties.
 func New(o Options) *Server {
 	return &Server{
 		o:        o,
@@ -145,13 +153,16 @@
 	}
 }
 
-// Handler returns the path and the handler for proxies and control hosts.
+// Handler returns the path and the HTTP handler of the site service, which
+// proxies and other control hosts call.
 func (s *Server) Handler() (string, http.Handler) {
 	return lovageslipv1connect.NewSiteServiceHandler(s)
 }
 
-// propose logs a command and returns the result of its application. Errors are
-// those of consensus.Log.Propose.
+// propose commits a command to the log and returns the result of its application
+// to the state. Errors are those of consensus.Log.Propose, *fault.IO if the
+// command cannot be encoded, and *fault.OutcomeUnknown if the result cannot be
+// decoded.
 func (s *Server) propose(ctx context.Context, c *pb.SiteCommand) (*pb.SiteCommandResult, error) {
 	command, err := proto.Marshal(c)
 	if err != nil {
@@ -168,9 +179,10 @@
 	return &decoded, nil
 }
 
-// StoreConfig stores a configuration that has been checked. A configuration
-// that is not newer than the stored one is acknowledged and changes nothing.
-// After *fault.OutcomeUnknown it may still come into force.
+// StoreConfig commits a configuration that the caller has checked, and the
+// document that it was read from. A configuration that is not newer than the
+// stored one is acknowledged and changes nothing. After *fault.OutcomeUnknown
+// the configuration may still come into force.
 func (s *Server) StoreConfig(ctx context.Context, config *pb.SiteConfig, document []byte) error {
 	state, _, _ := s.o.State.Current()
 	if state.Config != nil && config.Version <= state.Config.Version {
@@ -191,8 +203,9 @@
 	return nil
 }
 
-// Document returns the newest configuration as it was sent; nil if there is
-// none. Its errors are those of consensus.Log.ReadIndex, and *fault.IO.
+// Document returns the document of the newest configuration as the operator sent
+// it, after a quorum read; nil if there is none. Its errors are those of
+// consensus.Log.ReadIndex, and *fault.IO.
 func (s *Server) Document(ctx context.Context) ([]byte, error) {
 	if _, err := s.o.Consensus.ReadIndex(ctx); err != nil {
 		s.log.Warn("configuration not read", "error", err)
@@ -202,7 +215,8 @@
 	return unpack(state.Document)
 }
 
-// LeaderHost returns the IP of the leading control host, if it is known.
+// LeaderHost returns the IP of the leading control host. It returns false if
+// this host knows no leader.
 func (s *Server) LeaderHost() (string, bool) {
 	_, address, ok := s.o.Consensus.Leader()
 	if !ok {
@@ -212,7 +226,7 @@
 	return host, found
 }
 
-// unavailable maps an error of this package to the wire between hosts.
+// unavailable returns the Connect error that carries err to the calling host.
 func unavailable(err error) error { return connect.NewError(connect.CodeUnavailable, err) }
 
 func now() time.Time { return bootclock.Now() }
--- a/sitecontrol/server_test.go
+++ b/sitecontrol/server_test.go
@@ -12,8 +12,8 @@
 	"lovageslip/site"
 )
 
-// Guards against an acknowledged configuration that an older one, sent again
-// or late, takes the place of.
+// Guards against an acknowledged configuration that is replaced by an older one
+// which arrives late or is sent again.
 func TestHighestVersionStaysInForce(t *testing.T) {
 	hosts := cluster(t, 3, newFakeUpstreams())
 	store(t, hosts[0], 7, "seven")
@@ -28,7 +28,8 @@
 	}
 }
 
-// Guards against a host without a quorum that answers with what it last knew.
+// Guards against a host without a quorum that returns the last document that it
+// has applied.
 func TestDocumentNeedsAQuorum(t *testing.T) {
 	hosts := cluster(t, 3, newFakeUpstreams())
 	store(t, hosts[0], 7, "seven")
@@ -39,8 +40,8 @@
 	waitFor(t, "no answer without a quorum", func() bool { return document(hosts[0]) == "" })
 }
 
-// Guards against a host that returned with an empty disk and stays outside, so
-// that the next loss takes the quorum.
+// Guards against a host that returns with an empty disk and is not added again,
+// so that the loss of one more host takes the quorum.
 func TestHostThatLostItsDiskJoinsAgain(t *testing.T) {
 	hosts := cluster(t, 3, newFakeUpstreams())
 	store(t, hosts[0], 7, "seven")
@@ -49,8 +50,8 @@
 	assert.NilError(t, os.RemoveAll(wiped.dir))
 	l := listenAt(t, wiped.address)
 	wiped.start(l, nil)
-	// Until it is removed and added again it stands among the voters under
-	// the folder that it has lost, and doesn't count.
+	// Until it is removed and added again, it is listed as a voter with the
+	// incarnation of the lost folder, and its votes don't count.
 	waitFor(t, "three voters, the wiped one with its new folder", func() bool {
 		return votersOf(hosts[0]) == 3 && isVoter(hosts[0], wiped) && document(wiped) == "seven"
 	})
@@ -59,13 +60,13 @@
 	waitFor(t, "a quorum with the wiped host", func() bool { return document(wiped) == "seven" })
 }
 
-// Guards against members that pile up when hosts are replaced: with the dead
-// among the voters the next loss takes the quorum.
+// Guards against replaced hosts that stay members. With ended hosts among the
+// voters, the next loss takes the quorum.
 func TestReplacedHostIsRemoved(t *testing.T) {
 	hosts := cluster(t, 3, newFakeUpstreams())
 	store(t, hosts[0], 7, "seven")
-	// A leader that has never heard from the dead host must count it as
-	// silent, too, so the leader is the one that ends.
+	// The host that ends is the leader, because its successor has never heard
+	// from it and must count it as silent, too.
 	for i, h := range hosts {
 		if _, leads := h.node.Leadership(); leads {
 			hosts[i], hosts[2] = hosts[2], hosts[i]
@@ -87,8 +88,8 @@
 	})
 }
 
-// Guards against a configuration of a large site that is refused because a log
-// entry cannot hold it: without its first configuration a site serves nothing.
+// Guards against a configuration of a large site that is refused because it does
+// not fit into a log entry. A site serves nothing without a configuration.
 func TestLargeConfigurationIsStored(t *testing.T) {
 	hosts := cluster(t, 3, newFakeUpstreams())
 	var large strings.Builder
@@ -99,8 +100,8 @@
 	assert.Equal(t, document(hosts[1]), large.String())
 }
 
-// isVoter reports whether a host counts as a voter with the data folder that it
-// has now.
+// isVoter reports whether h counts the other host as a voter with the incarnation
+// of its present data folder.
 func isVoter(h, voter *testHost) bool {
 	for _, m := range h.node.Members() {
 		if m.Address == voter.address {
@@ -124,8 +125,8 @@
 	return &pb.SiteUpstream{Id: id, Group: "g", Address: "10.0.0.1:" + id, Slots: 3, Primary: primary, BornMs: born, Sequence: sequence}
 }
 
-// Guards against an announcement that was delayed and takes the place of a
-// newer one of the same upstream, or of its successor at the address.
+// Guards against a delayed announcement that replaces a newer one of the same
+// process or of a later process under the same id.
 func TestLateAnnouncementsChangeNothing(t *testing.T) {
 	state := site.NewState()
 	s := New(Options{Name: "c1", State: state})
--- a/sitecontrol/standby.go
+++ b/sitecontrol/standby.go
@@ -12,28 +12,30 @@
 )
 
 const (
-	// extraMembers may be voters beyond those that the tolerated losses
-	// need, so that a successor can join before the host that it replaces
-	// ends.
+	// extraMembers is how many voters there may be beyond those that the
+	// tolerated losses need, so that a successor can join before the host that
+	// it replaces ends.
 	extraMembers = 2
-	// maxMembers bounds the members, whatever losses are to be tolerated.
-	// With 200 of them, the control hosts of a quiet site moved 18 MB a
-	// second between regions.
+	// maxMembers bounds the members, however many losses are to be tolerated.
+	// With 200 members, the control hosts of an idle site sent 18 MB a second
+	// between regions.
 	maxMembers = 9
 	// standbyInterval is how often a host that stands by asks whether it is
 	// needed.
 	standbyInterval = 2 * time.Second
 )
 
-// standby is what a host that is not needed as a member knows of the members.
+// standbyInfo is what a host that stands by, because it is not needed as a
+// member, knows of the members.
 type standby struct {
 	members []string // internal addresses
 	leader  string   // internal address; empty if unknown
 }
 
-// Join implements SiteService. A host beyond the number of members that is
-// needed stands by: with each further member, each entry and each heartbeat
-// costs the leader one more message.
+// Join implements SiteService. The leader adds the calling host as a member if
+// one is needed; any other host passes the call on to the leader, or names the
+// members that it knows. A host that is not needed stands by, because each
+// further member costs the leader one more message for each entry and heartbeat.
 func (s *Server) Join(ctx context.Context, r *connect.Request[pb.JoinRequest]) (*connect.Response[pb.JoinResponse], error) {
 	if _, leads := s.o.Consensus.Leadership(); leads {
 		return s.admit(ctx, r.Msg.Address)
@@ -51,8 +53,8 @@
 }
 
 func (s *Server) admit(ctx context.Context, address string) (*connect.Response[pb.JoinResponse], error) {
-	// One at a time, so that each sees the members that those before it
-	// have become.
+	// Hosts are added one at a time, so that each decision counts the hosts
+	// that were added before it.
 	s.admitting.Lock()
 	defer s.admitting.Unlock()
 	response := &pb.JoinResponse{Outcome: pb.JoinOutcome_JOIN_OUTCOME_NOT_NEEDED, Leader: s.o.Address}
@@ -66,8 +68,8 @@
 	return connect.NewResponse(response), nil
 }
 
-// needs reports whether a host that asks may become a member: too few members
-// are running, or it is one already and has lost its disk.
+// mayBecomeMember reports whether the host at an address is to be added: it is a
+// member already and has lost its disk, or too few members are running.
 func (s *Server) needs(address string, members []consensus.MemberStatus) bool {
 	running := 0
 	for _, m := range members {
@@ -81,11 +83,12 @@
 	return running < min(s.neededVoters()+extraMembers, maxMembers)
 }
 
-// neededVoters is the smallest number of voters of which a majority is left
-// after the tolerated losses, or maxMembers.
+// neededVoters returns the smallest number of voters of which a majority is left
+// after the tolerated losses, but at most maxMembers.
 func (s *Server) neededVoters() int { return min(2*s.o.MaxLost+1, maxMembers) }
 
-// knownMembers returns the members and their leader, as far as this host knows.
+// knownMembers returns the internal addresses of the members and of their leader
+// as far as this host knows them. The leader is empty if it is unknown.
 func (s *Server) knownMembers() (members []string, leader string) {
 	if _, address, ok := s.o.Consensus.Leader(); ok {
 		return s.memberAddresses(), address
@@ -99,8 +102,9 @@
 	return s.memberAddresses(), ""
 }
 
-// StandbyFor returns the IP of the leading control host if this host stands by,
-// so that calls are better sent there.
+// StandbyFor returns the IP of the leading control host if this host stands by
+// and knows the leader. Calls are to be sent there, because a host that stands
+// by cannot serve them.
 func (s *Server) StandbyFor() (host string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,8 +115,8 @@
 	return host, err == nil
 }
 
-// setStandby notes what an answer says of the members; nil if this host is one
-// of them.
+// setStandby stores what this host knows of the members while it stands by; nil
+// if it is a member itself.
 func (s *Server) setStandby(known *standby) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/sitecontrol/standby_test.go
+++ b/sitecontrol/standby_test.go
@@ -14,8 +14,8 @@
 	"lovageslip/tlsconf"
 )
 
-// Guards against a cluster in which each control host is a member: with 75 of
-// them, a quiet site moved four times as many bytes between regions, and hosts
+// Guards against a consensus in which each control host is a member. With 75
+// members, an idle site sent four times as many bytes between regions, and hosts
 // that waited to be added asked four times a second.
 func TestHostsThatAreNotNeededStandBy(t *testing.T) {
 	hosts := cluster(t, 3, newFakeUpstreams())
@@ -37,7 +37,7 @@
 	members := watchedMembers(t, standing[0])
 	assert.Equal(t, len(members), limit)
 
-	// Its seeds name only hosts that stand by.
+	// The seeds of this host are only hosts that stand by.
 	late := join(t, []string{standing[0].address, standing[1].address})
 	waitFor(t, "a host that only knows hosts that stand by", func() bool { return late.server.standbyMembers() != nil })
 
@@ -53,7 +53,7 @@
 	})
 }
 
-// Guards against a tolerance that asks for more voters than a leader can serve.
+// Guards against more members than a leader can serve, if MaxLost asks for them.
 func TestMembersAreBounded(t *testing.T) {
 	s := &Server{o: Options{MaxLost: 99}}
 	members := make([]consensus.MemberStatus, maxMembers-1)
@@ -74,7 +74,7 @@
 	return standing
 }
 
-// join starts one more host.
+// startHost starts one more host, which asks to be added.
 func join(t *testing.T, seeds []string) *testHost {
 	t.Helper()
 	l := listenAnywhere(t)
@@ -84,7 +84,8 @@
 	return h
 }
 
-// watchedMembers returns the control hosts that a Watch on a host names first.
+// watchedMembers returns the control hosts in the first update of a Watch stream
+// from a host.
 func watchedMembers(t *testing.T, h *testHost) []string {
 	t.Helper()
 	client := NewClients(tlsconf.HTTPClient(nil)).At(h.address)
--- a/sitecontrol/watch.go
+++ b/sitecontrol/watch.go
@@ -12,32 +12,33 @@
 )
 
 const (
-	// watchInterval bounds how often one proxy is sent the state, so that a
-	// series of changes costs one update.
+	// watchInterval is the shortest time between two updates to one proxy, so
+	// that changes in quick succession are sent as one update.
 	watchInterval = 100 * time.Millisecond
-	// KeepAliveInterval is how often a control host that hears from the
-	// leader sends an update, changed or not.
+	// KeepAliveInterval is the longest time between two updates to one proxy,
+	// while this host knows a leader. An update is then sent even if nothing
+	// has changed.
 	KeepAliveInterval = 700 * time.Millisecond
-	// firstUpdateTimeout bounds the wait for the first update. It is longer
-	// than an election, and shorter than the silence after which a proxy
-	// turns away by itself.
+	// firstUpdateTimeout bounds the wait for the quorum read before the first
+	// update. It is longer than an election, and shorter than the silence
+	// after which a proxy turns to another control host by itself.
 	firstUpdateTimeout = 1200 * time.Millisecond
-	// leaderlessLimit is how long a host may be without a leader before it
-	// turns proxies away at once: an election would be over, so that the
-	// host is likely cut off from the others.
+	// leaderlessLimit is how long a host may know no leader before it refuses
+	// new watches at once. An election would be over by then, so that the host
+	// is probably cut off from the others.
 	leaderlessLimit = time.Second
 )
 
-// watcher is what one Watch stream has been sent.
+// watcher holds what was last sent on one Watch stream.
 type watcher struct {
 	config  *pb.SiteConfig
 	state   *pb.SiteState
 	members []string
 }
 
-// Watch implements SiteService. The stream ends when this host hears from no
-// leader, so that the proxy turns to another control host; a host that stands by
-// names those that are members.
+// Watch implements SiteService. It streams the state of the site to a proxy. The
+// stream ends when this host knows no leader, so that the proxy turns to another
+// control host. A host that stands by sends only the addresses of the members.
 func (s *Server) Watch(ctx context.Context, r *connect.Request[pb.WatchSiteRequest], stream *connect.ServerStream[pb.SiteUpdate]) error {
 	w := &watcher{}
 	if members := s.standbyMembers(); members != nil {
@@ -61,9 +62,10 @@
 	}
 }
 
-// readCommitted waits until this host's state includes all that was committed
-// before the call. A host that cannot do so soon, for example because it has
-// lost its disk, must not keep a proxy from asking another one.
+// readCommitted waits by a quorum read until this host's state includes all that
+// was committed before the call. It fails soon on a host that cannot reach that
+// state, for example because it has lost its disk, so that the proxy asks
+// another one.
 func (s *Server) readCommitted(ctx context.Context) error {
 	if len(s.o.Consensus.Members()) == 0 || s.leaderlessFor() > leaderlessLimit {
 		return noLeader()
@@ -74,8 +76,8 @@
 	return err
 }
 
-// waitForChange returns when the next update is due, and an error as soon as
-// this host hears from no leader or ctx ends.
+// waitForChange returns nil when the next update is due, and an error as soon as
+// this host knows no leader or ctx ends.
 func (s *Server) waitForChange(ctx context.Context, changed <-chan struct{}) error {
 	for waited := time.Duration(0); waited < KeepAliveInterval; waited += watchInterval {
 		if !pause.For(ctx, watchInterval) {
@@ -93,7 +95,8 @@
 	return nil
 }
 
-// update returns what has changed since the previous update.
+// update returns the parts of the state that have changed since the previous
+// update to this proxy.
 func (w *watcher) update(state *pb.SiteState, index uint64, members []string) *pb.SiteUpdate {
 	u := &pb.SiteUpdate{Index: index}
 	if state.Config != w.config {
--- a/sitewatch/sitewatch.go
+++ b/sitewatch/sitewatch.go
@@ -1,6 +1,8 @@
-// Package sitewatch keeps a proxy's view of the site up to date. It watches one
-// control host at a time, the nearest that answers, and reports upstreams that
-// the proxy cannot reach.
+// Package sitewatch connects a proxy to the control hosts (package sitecontrol).
+// It keeps the proxy's view of the site up to date, by watching one control host
+// at a time, the one that accepts a connection first. It reports the primaries
+// that the proxy cannot reach, and asks for the positions of primaries. Package
+// platform starts it.
 package sitewatch
 
 import (
@@ -31,17 +33,18 @@
 )
 
 const (
-	// silenceLimit is how long a control host may send nothing before the
-	// watch turns to another one.
+	// silenceLimit is how long a control host may send no update before the
+	// watch turns to another one: two intervals of keep-alives and some delay.
 	silenceLimit = 2*sitecontrol.KeepAliveInterval + 200*time.Millisecond
-	// probeTimeout bounds the search for a control host that answers.
+	// probeTimeout bounds the wait until one of several control hosts accepts
+	// a connection.
 	probeTimeout  = 700 * time.Millisecond
 	retryPause    = 200 * time.Millisecond
 	reportTick    = 50 * time.Millisecond
 	reportTimeout = 500 * time.Millisecond
 )
 
-// Options configure a Watch.
+// Options configure a Watch; New takes them.
 type Options struct {
 	// Name is the proxy's name in reports and logs.
 	Name       string
@@ -53,16 +56,18 @@
 	Metrics    tally.Scope
 }
 
-// Proxy is what the watch works for.
+// Proxy is the proxy that receives the views and supplies the reports.
 type Proxy interface {
 	// SetView is called with each newer view, from one goroutine.
 	SetView(*site.View)
-	// Reach lists the primaries that the proxy cannot reach, and those that
-	// it has had nothing to ask lately.
+	// Reach returns the ids of the primaries that the proxy cannot reach, and
+	// of those to which it has sent no request lately, so that it does not
+	// know whether it can.
 	Reach() (unreachable, untried []string)
 }
 
-// Watch is safe for concurrent use.
+// Watch is a proxy's connection to the control hosts. It is safe for concurrent
+// use.
 type Watch struct {
 	o       Options
 	log     *slog.Logger
@@ -72,13 +77,13 @@
 	// mu guards the fields below.
 	mu      sync.Mutex
 	parts   site.ViewParts
-	current string // address of the control host that is watched
+	current string // address of the last control host that sent an update
 	heardAt time.Time
-	// learned are control hosts that one which only stands by has named.
+	// learned are the members that a control host which stands by has named.
 	learned []string
 }
 
-// New returns a watch; Run must be called.
+// New returns a watch, which is started by Run.
 func New(o Options) *Watch {
 	return &Watch{
 		o:       o,
@@ -88,7 +93,7 @@
 	}
 }
 
-// Run watches for a proxy until ctx ends.
+// Run watches control hosts and reports to them for a proxy until ctx ends.
 func (w *Watch) Run(ctx context.Context, p Proxy) {
 	var tasks conc.WaitGroup
 	defer tasks.Wait()
@@ -101,7 +106,7 @@
 			continue
 		}
 		err := w.watch(ctx, address, p)
-		w.log.Warn("control host lost", "address", address, "index", w.index(), "error", err)
+		w.log.Warn("watch of a control host ended", "address", address, "index", w.index(), "error", err)
 		w.metrics.Counter("control_hosts_lost_total").Inc(1)
 		failedAt[address] = bootclock.Now()
 		pause.For(ctx, retryPause/4)
@@ -114,18 +119,19 @@
 	return w.parts.Index
 }
 
-// SinceHeard returns the time since a control host last sent an update.
+// SinceLastUpdate returns the time since a control host last sent an update.
 func (w *Watch) SinceHeard() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return bootclock.Since(w.heardAt)
 }
 
-// maxSeeds bounds the seeds among the candidates: on a large site there are many,
-// and most of them only stand by.
+// maxSeeds bounds the seeds among the candidates, because on a large site most of
+// the many seeds only stand by.
 const maxSeeds = 5
 
-// candidates are the control hosts that are known and some of the seeds.
+// candidates returns the addresses of the known control hosts and of some random
+// seeds.
 func (w *Watch) candidates() []string {
 	seeds := slices.Clone(w.o.Seeds())
 	rand.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
@@ -137,7 +143,8 @@
 }
 
 // nearest returns the control host that accepts a connection first, of those
-// that have not failed lately; if all have, the one that failed first.
+// whose watch has not failed lately. If none of them does, it tries those that
+// have failed, one after the other, the one that failed longest ago first.
 func (w *Watch) nearest(ctx context.Context, failedAt map[string]time.Time) (string, bool) {
 	candidates, failed := byFailure(w.candidates(), failedAt, bootclock.Now())
 	if address, ok := first(ctx, candidates); ok {
@@ -151,13 +158,13 @@
 	return "", false
 }
 
-// forgetFailureAfter is how long a control host that failed is passed over. It
-// outlasts the time in which all others can be tried, so that a proxy doesn't go
-// back and forth between two hosts that are cut off together.
+// failedHostBackoff is how long a control host whose watch has failed is tried
+// only after all others. It is longer than it takes to try them, so that a proxy
+// doesn't alternate between two hosts that are cut off from the others together.
 const forgetFailureAfter = 10 * time.Second
 
-// byFailure splits addresses into those that have not failed lately and the
-// others, the longest ago first.
+// splitByFailure splits addresses into those that have not failed within
+// failedHostBackoff and the others, sorted by the time of their failure.
 func byFailure(addresses []string, failedAt map[string]time.Time, at time.Time) (candidates, failed []string) {
 	for _, address := range addresses {
 		if when, ok := failedAt[address]; ok && at.Sub(when) < forgetFailureAfter {
@@ -170,7 +177,8 @@
 	return candidates, failed
 }
 
-// first returns the address that accepts a connection first.
+// firstReachable returns the address that accepts a connection first, within
+// probeTimeout.
 func first(ctx context.Context, addresses []string) (string, bool) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -189,19 +197,21 @@
 	return "", false
 }
 
-// reach returns the address if it accepts a connection.
+// probe returns the address if it accepts a connection, and an empty string
+// otherwise.
 func reach(ctx context.Context, address string) string {
 	var dialer net.Dialer
 	c, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return ""
 	}
-	// Nothing was sent on it.
+	// Nothing was sent on the connection, so an error of Close loses nothing.
 	_ = c.Close()
 	return address
 }
 
-// watch follows one control host until it fails or falls silent.
+// watch applies the updates of one control host until the stream fails, an update
+// is older than the view, or none arrives within silenceLimit.
 func (w *Watch) watch(ctx context.Context, address string, p Proxy) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -222,7 +232,7 @@
 			continue
 		}
 		if first {
-			w.log.Info("watching a control host", "address", address)
+			w.log.Info("proxy watches a control host", "address", address)
 			first = false
 		}
 		if !w.take(address, stream.Msg(), p) {
@@ -238,13 +248,17 @@
 	w.learned = hosts
 }
 
-// OldState reports a control host whose state is older than the proxy's.
+// OldState reports a control host whose state of the site is older than the view
+// of the proxy.
 type OldState struct{ Address string }
 
-func (e *OldState) Error() string { return "control host " + e.Address + " has an older state" }
+func (e *OldState) Error() string {
+	return "control host " + e.Address + " sent an older state than the proxy has"
+}
 
-// take applies an update. It reports false if this proxy has seen a newer
-// state; the updates that follow build on the old one and are of no use.
+// applyUpdate applies an update to the view. It reports false if the update is
+// older than the view. Later updates of the same stream hold only changes since
+// that one, so the stream is of no use any more.
 func (w *Watch) take(address string, u *pb.SiteUpdate, p Proxy) bool {
 	w.mu.Lock()
 	w.current, w.heardAt = address, bootclock.Now()
@@ -266,14 +280,14 @@
 	if !changed {
 		return true
 	}
-	w.log.Info("view taken over", "index", parts.Index, "config", parts.Config.GetVersion(),
+	w.log.Info("view of the site updated", "index", parts.Index, "config", parts.Config.GetVersion(),
 		"upstreams", len(parts.Upstreams), "proxies", parts.Proxies, "from", address)
 	p.SetView(site.NewView(parts))
 	return true
 }
 
-// runReports tells the watched control host that this proxy runs, and what it
-// cannot reach.
+// runReports reports to the watched control host that this proxy runs, and which
+// primaries it cannot reach.
 func (w *Watch) runReports(ctx context.Context, p Proxy) {
 	var last []string
 	var sentAt time.Time
@@ -287,7 +301,7 @@
 			continue
 		}
 		if !slices.Equal(unreachable, last) {
-			w.log.Info("primaries that cannot be reached", "upstreams", unreachable)
+			w.log.Info("primaries that the proxy cannot reach changed", "upstreams", unreachable)
 		}
 		if w.report(ctx, unreachable, untried) {
 			last, sentAt = unreachable, bootclock.Now()
@@ -322,9 +336,10 @@
 	return list
 }
 
-// Positions returns what the primaries of groups held, as the watched control
-// host knows it. The age of each is counted from the begin of the call, so that
-// it is no less than the true one. Errors are *fault.IO and *fault.NotRun.
+// Positions returns the positions of the primaries of groups that the watched
+// control host knows. Their ages are subtracted from the start of the call, so
+// that no position is taken for newer than it is. Errors are *fault.IO and
+// *fault.NotRun.
 func (w *Watch) Positions(ctx context.Context, groups []string) ([]proxy.GroupPosition, error) {
 	w.mu.Lock()
 	address := w.current
--- a/sitewatch/sitewatch_test.go
+++ b/sitewatch/sitewatch_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a proxy that goes back and forth between two control hosts that
-// are cut off together, and never tries a third: it served an old configuration
-// for 4 s (pll-sketchyard, two-cuts --vary --seed 125042892340).
+// Guards against a proxy that alternates between two control hosts that are cut
+// off from the others together, and never tries a third: it served an old
+// configuration for 4 s (pll-sketchyard, two-cuts --vary --seed 125042892340).
 func TestAllOtherControlHostsAreTriedBeforeOneThatFailed(t *testing.T) {
 	at := time.Unix(100, 0)
 	ago := func(d time.Duration) time.Time { return at.Add(-d) }
