--- a/failover/calls.go
+++ b/failover/calls.go
@@ -26,29 +26,29 @@
 // have replied or when the stop condition is met; calls that are still running
 // then end within callTimeout of their start. It fails with *NotLeading, without
 // any call, if the leader's term has ended.
-func (s *Supervisor) ask(ctx context.Context, targets []*pb.Upstream, do call, until stop) ([]reply, error) {
+func (s *Supervisor) ask(ctx context.Context, targets []*pb.Upstream, do call, until stopCondition) ([]reply, error) {
 	if !s.journal.Leading() {
 		return nil, &NotLeading{}
 	}
-	arriving := make(chan reply, len(targets))
+	incoming := make(chan reply, len(targets))
 	for _, u := range targets {
-		s.running.Go(func() { arriving <- s.askOne(ctx, u, do) })
+		s.running.Go(func() { incoming <- s.askOne(ctx, u, do) })
 	}
 	var replies []reply
-	var late <-chan time.Time
-	ok := 0
+	var delayOver <-chan time.Time
+	successes := 0
 	for len(replies) < len(targets) {
 		select {
-		case r := <-arriving:
+		case r := <-incoming:
 			replies = append(replies, r)
-			if r.err == nil && r.name != until.except {
-				ok++
+			if r.err == nil && r.name != until.uncounted {
+				successes++
 			}
-		case <-late:
+		case <-delayOver:
 			return replies, nil
 		}
-		if late == nil && ok >= until.enough {
-			late = time.After(until.extra)
+		if delayOver == nil && successes >= until.minSucceeded {
+			delayOver = time.After(until.delay)
 		}
 	}
 	return replies, nil
@@ -57,14 +57,14 @@
 // stopCondition says when ask returns without the remaining replies: minSucceeded
 // upstreams, not counting the one named uncounted, have replied without an error,
 // and delay has passed since.
-type stop struct {
-	enough int
-	except string
-	extra  time.Duration
+type stopCondition struct {
+	minSucceeded int
+	uncounted    string
+	delay        time.Duration
 }
 
 // waitForAll makes ask wait for the reply of every upstream.
-var never = stop{enough: math.MaxInt}
+var waitForAll = stopCondition{minSucceeded: math.MaxInt}
 
 func (s *Supervisor) askOne(ctx context.Context, u *pb.Upstream, do call) reply {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -76,7 +76,7 @@
 	defer conn.Close()
 	status, err := do(ctx, conn)
 	if err == nil {
-		return reply{name: u.GetName(), status: status, fenced: promised(status)}
+		return reply{name: u.GetName(), status: status, fenced: boundTerm(status)}
 	}
 	// The error does not say at which term the upstream is fenced, so its
 	// status is read on the same connection.
@@ -84,12 +84,12 @@
 	if statusErr != nil {
 		return reply{name: u.GetName(), err: err}
 	}
-	return reply{name: u.GetName(), status: after, fenced: promised(after), err: err}
+	return reply{name: u.GetName(), status: after, fenced: boundTerm(after), err: err}
 }
 
 // boundTerm returns the highest term that an upstream is bound to: it refuses
 // calls at lower terms.
-func promised(status upstream.Status) upstream.Term { return max(status.Fenced, status.Term) }
+func boundTerm(status upstream.Status) upstream.Term { return max(status.Fenced, status.Term) }
 
 func askStatus(ctx context.Context, conn upstream.Conn) (upstream.Status, error) {
 	return conn.Status(ctx)
@@ -135,11 +135,11 @@
 }
 
 func succeeded(replies []reply) []reply {
-	var good []reply
+	var withoutError []reply
 	for _, r := range replies {
 		if r.err == nil {
-			good = append(good, r)
+			withoutError = append(withoutError, r)
 		}
 	}
-	return good
+	return withoutError
 }
--- a/failover/change.go
+++ b/failover/change.go
@@ -27,16 +27,16 @@
 
 // continueChange carries out a change of primary from its logged step to its
 // end.
-func (s *Supervisor) proceed(ctx context.Context, database string) error {
+func (s *Supervisor) continueChange(ctx context.Context, database string) error {
 	for {
 		frame := s.journal.Frame()
 		g := frame.Groups[database]
 		var err error
 		switch g.GetStep() {
 		case pb.PromotionStep_PROMOTION_STEP_STARTED:
-			err = s.choose(ctx, frame, g)
+			err = s.choosePrimary(ctx, frame, g)
 		case pb.PromotionStep_PROMOTION_STEP_CHOSEN:
-			err = s.install(ctx, frame, g)
+			err = s.installPrimary(ctx, frame, g)
 		default:
 			return nil
 		}
@@ -48,22 +48,22 @@
 
 // startChange logs the start of a change of primary at a term and carries it
 // out.
-func (s *Supervisor) begin(ctx context.Context, g *pb.Group, term upstream.Term, reason string) error {
+func (s *Supervisor) startChange(ctx context.Context, g *pb.Group, term upstream.Term, reason string) error {
 	if err := s.logStart(ctx, g, term, reason); err != nil {
 		return err
 	}
-	return s.proceed(ctx, g.GetDatabase())
+	return s.continueChange(ctx, g.GetDatabase())
 }
 
 func (s *Supervisor) logStart(ctx context.Context, g *pb.Group, term upstream.Term, reason string) error {
 	s.metrics.Tagged(map[string]string{"reason": reason}).Counter("changes_started_total").Inc(1)
 	s.log.Info("change of primary started", "database", g.GetDatabase(), "term", term, "old_primary", g.GetPrimary(), "reason", reason)
-	return s.step(ctx, g, "started", &pb.Command{Command: &pb.Command_PromotionStarted{
+	return s.logStep(ctx, g, "started", &pb.Command{Command: &pb.Command_PromotionStarted{
 		PromotionStarted: &pb.PromotionStarted{Database: g.GetDatabase(), Term: uint64(term)},
 	}})
 }
 
-func (s *Supervisor) step(ctx context.Context, g *pb.Group, name string, cmd *pb.Command) error {
+func (s *Supervisor) logStep(ctx context.Context, g *pb.Group, name string, cmd *pb.Command) error {
 	applied, err := s.journal.Propose(ctx, cmd)
 	if err != nil {
 		return err
@@ -77,10 +77,10 @@
 // choosePrimary fences a majority of the members at the term of the change, and
 // logs the most advanced of the fenced members as the chosen one. It starts again
 // at a higher term if a member is already fenced above that one.
-func (s *Supervisor) choose(ctx context.Context, frame *controlstate.Frame, g *pb.Group) error {
+func (s *Supervisor) choosePrimary(ctx context.Context, frame *controlstate.Frame, g *pb.Group) error {
 	term := upstream.Term(g.GetTerm())
 	needed := majority(g)
-	replies, err := s.ask(ctx, membersOf(frame, g), askFence(term), stop{enough: needed, except: g.GetReplaced(), extra: extraWait})
+	replies, err := s.ask(ctx, membersOf(frame, g), askFence(term), stopCondition{minSucceeded: needed, uncounted: g.GetReplaced(), delay: extraFenceWait})
 	if err != nil {
 		return err
 	}
@@ -91,8 +91,8 @@
 	if len(fenced) < needed {
 		return &NoMajority{Database: g.GetDatabase(), Answered: len(fenced), Needed: needed}
 	}
-	best := pick(fenced, s.eligible(frame, g, fenced), frame)
-	return s.step(ctx, g, "chosen", &pb.Command{Command: &pb.Command_PromotionChosen{
+	best := mostAdvanced(fenced, s.eligible(frame, g, fenced), frame)
+	return s.logStep(ctx, g, "chosen", &pb.Command{Command: &pb.Command_PromotionChosen{
 		PromotionChosen: &pb.PromotionChosen{Database: g.GetDatabase(), Term: g.GetTerm(), Upstream: best.name},
 	}})
 }
@@ -104,15 +104,15 @@
 // (majorityCaughtUp). A replaced primary that is cut off from its group may hold
 // the most entries of all; choosing it again would change nothing.
 func (s *Supervisor) eligible(frame *controlstate.Frame, g *pb.Group, fenced []reply) []reply {
-	var staying []reply
+	var notLeaving []reply
 	for _, r := range fenced {
 		if r.name != g.GetReplaced() && !frame.Upstreams[r.name].GetLeaving() {
-			staying = append(staying, r)
+			notLeaving = append(notLeaving, r)
 		}
 	}
-	meetsEvery := len(g.GetMembers()) - majority(g) + 1
-	if len(staying) >= meetsEvery && s.factsOf(g.GetDatabase()).settled {
-		return staying
+	minIntersecting := len(g.GetMembers()) - majority(g) + 1
+	if len(notLeaving) >= minIntersecting && s.factsOf(g.GetDatabase()).majorityCaughtUp {
+		return notLeaving
 	}
 	return fenced
 }
@@ -120,21 +120,21 @@
 // mostAdvanced returns the most advanced of the eligible replies, or of the
 // fenced ones if none is eligible. Among equals it prefers one that is not
 // leaving, then the first name.
-func pick(fenced, eligible []reply, frame *controlstate.Frame) reply {
+func mostAdvanced(fenced, eligible []reply, frame *controlstate.Frame) reply {
 	candidates := eligible
 	if len(candidates) == 0 {
 		candidates = fenced
 	}
 	return slices.MaxFunc(candidates, func(a, b reply) int {
 		return cmp.Or(
-			compare(a.status, b.status),
-			staying(frame, a.name)-staying(frame, b.name),
+			compareLogs(a.status, b.status),
+			stayingRank(frame, a.name)-stayingRank(frame, b.name),
 			cmp.Compare(b.name, a.name),
 		)
 	})
 }
 
-func staying(frame *controlstate.Frame, name string) int {
+func stayingRank(frame *controlstate.Frame, name string) int {
 	if frame.Upstreams[name].GetLeaving() {
 		return 0
 	}
@@ -145,7 +145,7 @@
 // The term that an upstream follows does not order logs: a primary that returns
 // may follow a new term and still hold entries past the point where the new
 // primary's log branched off.
-func compare(a, b upstream.Status) int {
+func compareLogs(a, b upstream.Status) int {
 	return cmp.Or(cmp.Compare(lastTerm(a), lastTerm(b)), cmp.Compare(a.Offset, b.Offset))
 }
 
@@ -158,7 +158,7 @@
 
 // installPrimary promotes the chosen upstream, orders the others to follow it,
 // and logs the end of the change.
-func (s *Supervisor) install(ctx context.Context, frame *controlstate.Frame, g *pb.Group) error {
+func (s *Supervisor) installPrimary(ctx context.Context, frame *controlstate.Frame, g *pb.Group) error {
 	chosen, registered := frame.Upstreams[g.GetChosen()]
 	if !registered {
 		return s.logStart(ctx, g, upstream.Term(g.GetTerm())+1, "chosen_removed")
@@ -169,7 +169,7 @@
 	if _, err := s.orderFollow(ctx, g, chosen, followers(frame, g, chosen.GetName())); err != nil {
 		return err
 	}
-	err := s.step(ctx, g, "finished", &pb.Command{Command: &pb.Command_PromotionFinished{
+	err := s.logStep(ctx, g, "finished", &pb.Command{Command: &pb.Command_PromotionFinished{
 		PromotionFinished: &pb.PromotionFinished{Database: g.GetDatabase(), Term: g.GetTerm()},
 	}})
 	if err != nil {
@@ -185,7 +185,7 @@
 // does nothing at a term of which it is the primary already.
 func (s *Supervisor) promote(ctx context.Context, g *pb.Group, chosen *pb.Upstream) error {
 	term := upstream.Term(g.GetTerm())
-	replies, err := s.ask(ctx, []*pb.Upstream{chosen}, askPromote(term), never)
+	replies, err := s.ask(ctx, []*pb.Upstream{chosen}, askPromote(term), waitForAll)
 	if err != nil {
 		return err
 	}
@@ -204,14 +204,14 @@
 		return s.logStart(ctx, g, upstream.Term(refused.Fenced)+1, "fenced_higher")
 	}
 	failures := 0
-	s.remember(s.factsOf(g.GetDatabase()).watch, func(f *groupFacts) {
+	s.updateFacts(s.factsOf(g.GetDatabase()).watch, func(f *groupFacts) {
 		f.promoteFailures++
 		failures = f.promoteFailures
 	})
-	if failures < promoteTries {
+	if failures < maxPromoteAttempts {
 		return cause
 	}
-	s.remember(s.factsOf(g.GetDatabase()).watch, func(f *groupFacts) { f.promoteFailures = 0 })
+	s.updateFacts(s.factsOf(g.GetDatabase()).watch, func(f *groupFacts) { f.promoteFailures = 0 })
 	return s.logStart(ctx, g, upstream.Term(g.GetTerm())+1, "chosen_lost")
 }
 
@@ -233,7 +233,7 @@
 // are ordered again by repair.
 func (s *Supervisor) orderFollow(ctx context.Context, g *pb.Group, primary *pb.Upstream, others []*pb.Upstream) ([]reply, error) {
 	order := askFollow(upstream.Term(g.GetTerm()), primary.GetAddress())
-	return s.ask(ctx, others, order, stop{enough: majority(g) - 1})
+	return s.ask(ctx, others, order, stopCondition{minSucceeded: majority(g) - 1})
 }
 
 func asRefused(err error) (*CallRefused, bool) {
--- a/failover/errors.go
+++ b/failover/errors.go
@@ -26,12 +26,12 @@
 // PrimaryReachable reports that a primary answered the control leader as the
 // primary of its term, although its owner reported it as unreachable or as no
 // longer the primary. It is not replaced.
-type FalseAlarm struct {
+type PrimaryReachable struct {
 	Database string
 	Primary  string
 }
 
-func (e *FalseAlarm) Error() string {
+func (e *PrimaryReachable) Error() string {
 	return "database " + e.Database + ": primary " + e.Primary + " was reported as lost, but answers the control leader"
 }
 
@@ -66,11 +66,11 @@
 
 // MemberChangeDeferred reports that the members of a group may not change yet,
 // because it is not known that a majority or a new member has caught up.
-type NotSettled struct {
+type MemberChangeDeferred struct {
 	Database string
 	Reason   string
 }
 
-func (e *NotSettled) Error() string {
+func (e *MemberChangeDeferred) Error() string {
 	return "database " + e.Database + ": members may not change yet: " + e.Reason
 }
--- a/failover/failover.go
+++ b/failover/failover.go
@@ -45,29 +45,29 @@
 const (
 	// callTimeout bounds a call to an upstream, including the dialing.
 	callTimeout = 300 * time.Millisecond
-	// lossTime is how long a primary must be unreachable to its owner or to
+	// lossTimeout is how long a primary must be unreachable to its owner or to
 	// its replicas before it counts as lost. With a shorter time, working
 	// primaries are reported as lost at 40 ms round trips with 20 ms jitter.
-	lossTime = time.Second
+	lossTimeout = time.Second
 	// ownerDropTime is how long an owner may report a primary as unreachable that
 	// the leader reaches, before it is replaced as the owner.
 	ownerDropTime = 3 * time.Second
-	// reportAge is how old a report may be to be used: three intervals of the
+	// maxReportAge is how old a report may be to be used: three intervals of the
 	// owners' heartbeats.
-	reportAge = 1500 * time.Millisecond
+	maxReportAge = 1500 * time.Millisecond
 	// reportLag is how long after a change owners may still report what they
 	// saw before it: the intervals of a poll and of a heartbeat.
 	reportLag = 700 * time.Millisecond
-	// adoptTime is how long a new group waits before it adopts its primary, so
+	// adoptDelay is how long a new group waits before it adopts its primary, so
 	// that its members can announce themselves and need not be added later.
-	adoptTime = time.Second
-	// electTime is how long a new group waits for a primary before it elects
-	// one. It is longer than adoptTime, because an election may discard what
+	adoptDelay = time.Second
+	// electDelay is how long a new group waits for a primary before it elects
+	// one. It is longer than adoptDelay, because an election may discard what
 	// only a member holds that has not answered yet.
-	electTime = 5 * time.Second
-	// extraWait is how long replies are awaited after a majority has been
+	electDelay = 5 * time.Second
+	// extraFenceWait is how long replies are awaited after a majority has been
 	// fenced, because a member that replies later may be more advanced.
-	extraWait = 50 * time.Millisecond
+	extraFenceWait = 50 * time.Millisecond
 	// memberRemovalTime is how long a member must be unreachable to be removed. It
 	// becomes a member again when it returns.
 	memberRemovalTime = time.Minute
@@ -77,9 +77,9 @@
 	// minMembers is how many members must remain when an unreachable one is
 	// removed.
 	minMembers = 3
-	// promoteTries is how many times in a row the promotion of the chosen
+	// maxPromoteAttempts is how many times in a row the promotion of the chosen
 	// upstream may fail before the change starts again at the next term.
-	promoteTries = 3
+	maxPromoteAttempts = 3
 
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = time.Second
@@ -136,13 +136,13 @@
 // Supervisor supervises all groups for one term of a control leader. Tick must be
 // called by one goroutine only; it runs at most one action per group at a time.
 type Supervisor struct {
-	log     *slog.Logger
-	metrics tally.Scope
-	dialer  upstream.Dialer
-	journal Journal
-	expiry  time.Duration
-	now     func() time.Time
-	running conc.WaitGroup
+	log         *slog.Logger
+	metrics     tally.Scope
+	dialer      upstream.Dialer
+	journal     Journal
+	leaseExpiry time.Duration
+	now         func() time.Time
+	running     conc.WaitGroup
 
 	// mu guards groups and the fields of each groupWatch.
 	mu     sync.Mutex
@@ -156,13 +156,13 @@
 		now = time.Now
 	}
 	return &Supervisor{
-		log:     logging.For(o.Log, "failover"),
-		metrics: metrics.OrNoop(o.Metrics).SubScope("failover"),
-		dialer:  o.Dialer,
-		journal: o.Journal,
-		expiry:  o.LeaseExpiry,
-		now:     now,
-		groups:  map[string]*groupWatch{},
+		log:         logging.For(o.Log, "failover"),
+		metrics:     metrics.OrNoop(o.Metrics).SubScope("failover"),
+		dialer:      o.Dialer,
+		journal:     o.Journal,
+		leaseExpiry: o.LeaseExpiry,
+		now:         now,
+		groups:      map[string]*groupWatch{},
 	}
 }
 
@@ -234,20 +234,20 @@
 }
 
 // decide returns the most urgent action on a group, and whether any is due.
-func (s *Supervisor) decide(frame *controlstate.Frame, g *pb.Group, f groupFacts, now time.Time) (action, bool) {
+func (s *Supervisor) decide(frame *controlstate.Frame, g *pb.Group, facts groupFacts, now time.Time) (action, bool) {
 	switch g.GetStep() {
 	case pb.PromotionStep_PROMOTION_STEP_STARTED, pb.PromotionStep_PROMOTION_STEP_CHOSEN:
-		return action{kindChange, func(ctx context.Context) error { return s.proceed(ctx, g.GetDatabase()) }}, true
+		return action{kindChange, func(ctx context.Context) error { return s.continueChange(ctx, g.GetDatabase()) }}, true
 	case pb.PromotionStep_PROMOTION_STEP_UNSPECIFIED:
-		act := s.decideNew(g, f, now)
+		act := s.decideFirstPrimary(g, facts, now)
 		return action{kindFirst, act}, act != nil
 	}
-	if act := s.decideLoss(g, f, now); act != nil {
+	if act := s.decideLoss(g, facts, now); act != nil {
 		return action{kindLoss, act}, true
 	}
-	if act := s.decideRepair(frame, g, f, now); act != nil {
+	if act := s.decideRepair(frame, g, facts, now); act != nil {
 		return action{kindRepair, act}, true
 	}
-	act := s.decideMembers(frame, g, f, now)
+	act := s.decideMembers(frame, g, facts, now)
 	return action{kindMembers, act}, act != nil
 }
--- a/failover/failover_test.go
+++ b/failover/failover_test.go
@@ -27,7 +27,7 @@
 func startLeader(t *testing.T, n *fakeNet, state *controlstate.State, term uint64, c *crash) *leader {
 	t.Helper()
 	j := newJournal(state, term, c)
-	s := failover.New(failover.Options{Dialer: &view{net: n, crash: c}, Journal: j, LeaseExpiry: leaseExpiry})
+	s := failover.New(failover.Options{Dialer: &fakeDialer{net: n, crash: c}, Journal: j, LeaseExpiry: leaseExpiry})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -104,13 +104,13 @@
 	t.Helper()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for term, servers := range n.led {
+	for term, servers := range n.primariesByTerm {
 		assert.Assert(t, len(servers) <= 1, "term %d was led by %v", term, servers)
 	}
 }
 
 // checkEntryKept checks that the group's primary holds the entry at position p.
-func checkKept(t *testing.T, n *fakeNet, state *controlstate.State, p upstream.Position) {
+func checkEntryKept(t *testing.T, n *fakeNet, state *controlstate.State, p upstream.Position) {
 	t.Helper()
 	s := n.get(group(state).GetPrimary())
 	assert.Equal(t, s.role, upstream.RolePrimary)
@@ -127,7 +127,7 @@
 	for _, effect := range []bool{false, true} {
 		for after := 1; ; after++ {
 			c := &crash{after: after, effect: effect}
-			t.Run(fmt.Sprintf("effect=%t/interaction=%d", effect, after), func(t *testing.T) { interrupt(t, c) })
+			t.Run(fmt.Sprintf("effect=%t/interaction=%d", effect, after), func(t *testing.T) { testInterruptedChange(t, c) })
 			if c.alive() {
 				break
 			}
@@ -135,7 +135,7 @@
 	}
 }
 
-func interrupt(t *testing.T, c *crash) {
+func testInterruptedChange(t *testing.T, c *crash) {
 	n, state := newNet("a", "b", "c"), newState("a", "b", "c")
 	n.write("a", 10, "b")
 	n.edit("a", func(s *fakeServer) { s.down = true })
@@ -145,7 +145,7 @@
 	startLeader(t, n, state, 3, nil)
 	waitFor(t, "new primary", changed(state))
 	checkOnePrimaryPerTerm(t, n)
-	checkKept(t, n, state, upstream.Position{Term: 1, Offset: 10})
+	checkEntryKept(t, n, state, upstream.Position{Term: 1, Offset: 10})
 	waitFor(t, "c to follow", func() bool { return uint64(n.get("c").term) == group(state).GetTerm() })
 }
 
@@ -163,7 +163,7 @@
 			startLeader(t, n, state, 2, nil)
 			waitFor(t, "new primary", changed(state))
 			checkOnePrimaryPerTerm(t, n)
-			checkKept(t, n, state, upstream.Position{Term: 1, Offset: 10})
+			checkEntryKept(t, n, state, upstream.Position{Term: 1, Offset: 10})
 		})
 	}
 }
@@ -179,7 +179,7 @@
 		startLeader(t, n, state, 3, nil)
 		waitFor(t, "new primary", changed(state))
 		checkOnePrimaryPerTerm(t, n)
-		checkKept(t, n, state, upstream.Position{Term: 1, Offset: 10})
+		checkEntryKept(t, n, state, upstream.Position{Term: 1, Offset: 10})
 	}
 }
 
@@ -231,7 +231,7 @@
 	assert.Equal(t, group(state).GetChosen(), "")
 	n.edit("b", func(s *fakeServer) { s.down = false })
 	waitFor(t, "new primary", changed(state))
-	checkKept(t, n, state, upstream.Position{Term: 1, Offset: 10})
+	checkEntryKept(t, n, state, upstream.Position{Term: 1, Offset: 10})
 }
 
 // A returning primary that follows the new term, but still holds entries past the
@@ -274,7 +274,7 @@
 func TestPrimaryThatAnswersTheLeaderStays(t *testing.T) {
 	n, state := newNet("a", "b", "c"), newState("a", "b", "c")
 	j := newJournal(state, 2, nil)
-	s := failover.New(failover.Options{Dialer: &view{net: n}, Journal: j, LeaseExpiry: leaseExpiry})
+	s := failover.New(failover.Options{Dialer: &fakeDialer{net: n}, Journal: j, LeaseExpiry: leaseExpiry})
 	j.reportAll(n, 0)
 	j.reports["a"] = failover.Report{At: time.Now(), Unreachable: 2 * time.Second, Term: 1}
 	s.Tick(t.Context())
@@ -288,7 +288,7 @@
 func TestOwnerThatCannotReachThePrimaryIsDropped(t *testing.T) {
 	n, state := newNet("a", "b", "c"), newState("a", "b", "c")
 	j := newJournal(state, 2, nil)
-	s := failover.New(failover.Options{Dialer: &view{net: n}, Journal: j, LeaseExpiry: leaseExpiry})
+	s := failover.New(failover.Options{Dialer: &fakeDialer{net: n}, Journal: j, LeaseExpiry: leaseExpiry})
 	j.reportAll(n, 0)
 	j.reports["a"] = failover.Report{At: time.Now(), Unreachable: 4 * time.Second, Term: 1}
 	s.Tick(t.Context())
@@ -305,7 +305,7 @@
 	n.write("a", 5, "b")
 	j := newJournal(state, 2, nil)
 	now := time.Now()
-	s := failover.New(failover.Options{Dialer: &view{net: n}, Journal: j, LeaseExpiry: leaseExpiry, Now: func() time.Time { return now }})
+	s := failover.New(failover.Options{Dialer: &fakeDialer{net: n}, Journal: j, LeaseExpiry: leaseExpiry, Now: func() time.Time { return now }})
 	for range 3 { // the ticks see the members, read the watermark, and see that a majority holds it
 		s.Tick(t.Context())
 		s.Wait()
--- a/failover/fake_test.go
+++ b/failover/fake_test.go
@@ -32,8 +32,9 @@
 type fakeNet struct {
 	mu      sync.Mutex
 	servers map[string]*fakeServer
-	// led records, by term, the names of the servers that were its primary.
-	led map[upstream.Term]map[string]bool
+	// primariesByTerm records the names of the servers that were primary of
+	// each term.
+	primariesByTerm map[upstream.Term]map[string]bool
 }
 
 // crash makes a control leader fail at its n-th interaction, a call to a server
@@ -75,7 +76,7 @@
 
 // newNet returns a group whose first server is the primary of term 1.
 func newNet(names ...string) *fakeNet {
-	n := &fakeNet{servers: map[string]*fakeServer{}, led: map[upstream.Term]map[string]bool{}}
+	n := &fakeNet{servers: map[string]*fakeServer{}, primariesByTerm: map[upstream.Term]map[string]bool{}}
 	for i, name := range names {
 		s := &fakeServer{
 			name: name, address: "127.0.0.1:" + name, role: upstream.RoleReplica, term: 1, fenced: 1,
@@ -83,7 +84,7 @@
 		}
 		n.servers[name] = s
 		if i == 0 {
-			n.lead(s)
+			n.makePrimary(s)
 		}
 	}
 	for _, s := range n.servers {
@@ -92,12 +93,12 @@
 	return n
 }
 
-func (n *fakeNet) lead(s *fakeServer) {
+func (n *fakeNet) makePrimary(s *fakeServer) {
 	s.role = upstream.RolePrimary
-	if n.led[s.term] == nil {
-		n.led[s.term] = map[string]bool{}
+	if n.primariesByTerm[s.term] == nil {
+		n.primariesByTerm[s.term] = map[string]bool{}
 	}
-	n.led[s.term][s.name] = true
+	n.primariesByTerm[s.term][s.name] = true
 }
 
 func (n *fakeNet) edit(name string, change func(*fakeServer)) {
@@ -144,12 +145,12 @@
 }
 
 // fakeDialer is the Dialer of one leader, which may crash.
-type view struct {
+type fakeDialer struct {
 	net   *fakeNet
 	crash *crash
 }
 
-func (v *view) Dial(_ context.Context, address, _ string) (upstream.Conn, error) {
+func (v *fakeDialer) Dial(_ context.Context, address, _ string) (upstream.Conn, error) {
 	v.net.mu.Lock()
 	defer v.net.mu.Unlock()
 	for _, s := range v.net.servers {
@@ -225,7 +226,7 @@
 		}
 		s.term, s.fenced = term, term
 		s.history = append(slices.Clone(s.history), upstream.TermStart{Term: term, Start: s.offset})
-		c.net.lead(s)
+		c.net.makePrimary(s)
 		return nil
 	})
 }
--- a/failover/members.go
+++ b/failover/members.go
@@ -9,9 +9,9 @@
 	"lovageslip/upstream"
 )
 
-// leavingRetry is the pause between two attempts to replace a leaving primary. A
-// change may have chosen the same primary again.
-const leavingRetry = 5 * time.Second
+// leavingRetryInterval is the pause between two attempts to replace a leaving
+// primary. A change may have chosen the same primary again.
+const leavingRetryInterval = 5 * time.Second
 
 // memberChange is the addition or removal of one member.
 type memberChange struct {
@@ -24,25 +24,25 @@
 // change of one member, or the removal of a registration. The check does not wait
 // until a member is to change, because a primary that is cut off later can be
 // left out of the choice only if a majority had caught up before.
-func (s *Supervisor) decideMembers(frame *controlstate.Frame, g *pb.Group, w groupFacts, now time.Time) func(context.Context) error {
-	if now.Sub(w.membersAt) < s.expiry {
+func (s *Supervisor) decideMembers(frame *controlstate.Frame, g *pb.Group, facts groupFacts, now time.Time) func(context.Context) error {
+	if now.Sub(facts.membersSince) < s.leaseExpiry {
 		return nil
 	}
-	if !w.settled {
-		return func(ctx context.Context) error { return s.settle(ctx, g, w) }
+	if !facts.majorityCaughtUp {
+		return func(ctx context.Context) error { return s.checkMajorityCaughtUp(ctx, g, facts) }
 	}
 	leaving := frame.Upstreams[g.GetPrimary()].GetLeaving()
 	change, wanted := s.wantedChange(frame, g, now)
 	if !leaving && !wanted {
-		return s.decideRemoval(frame, g, now)
+		return s.decideUpstreamRemoval(frame, g, now)
 	}
-	if leaving && hasSuccessor(frame, g) && now.Sub(w.replacedAt) >= leavingRetry {
-		return func(ctx context.Context) error { return s.replaceLeaving(ctx, g, w) }
+	if leaving && hasSuccessor(frame, g) && now.Sub(facts.replacementTriedAt) >= leavingRetryInterval {
+		return func(ctx context.Context) error { return s.replaceLeaving(ctx, g, facts) }
 	}
 	if !wanted {
 		return nil
 	}
-	return func(ctx context.Context) error { return s.changeMember(ctx, g, w, change) }
+	return func(ctx context.Context) error { return s.changeMember(ctx, g, facts, change) }
 }
 
 func hasSuccessor(frame *controlstate.Frame, g *pb.Group) bool {
@@ -97,31 +97,31 @@
 // checkMajorityCaughtUp reads a position of the primary, the watermark, at least
 // one lease after the present members came into force. Later calls check that a
 // majority of the members holds everything up to it.
-func (s *Supervisor) settle(ctx context.Context, g *pb.Group, w groupFacts) error {
-	replies, err := s.ask(ctx, membersOf(s.journal.Frame(), g), askStatus, never)
+func (s *Supervisor) checkMajorityCaughtUp(ctx context.Context, g *pb.Group, facts groupFacts) error {
+	replies, err := s.ask(ctx, membersOf(s.journal.Frame(), g), askStatus, waitForAll)
 	if err != nil {
 		return err
 	}
-	if w.settleTerm == g.GetTerm() {
-		if n := holding(replies, g, w.settlePosition); n < majority(g) {
-			return &NotSettled{Database: g.GetDatabase(), Reason: "no majority has caught up"}
+	if facts.watermarkTerm == g.GetTerm() {
+		if n := countHolding(replies, g, facts.watermark); n < majority(g) {
+			return &MemberChangeDeferred{Database: g.GetDatabase(), Reason: "no majority has caught up"}
 		}
-		s.remember(w.watch, func(f *groupFacts) { f.settled = true })
+		s.updateFacts(facts.watch, func(f *groupFacts) { f.majorityCaughtUp = true })
 		s.log.Info("members settled", "database", g.GetDatabase(), "members", g.GetMembers())
 		return nil
 	}
 	for _, r := range replies {
-		if r.name == g.GetPrimary() && leads(replies, g) {
-			s.remember(w.watch, func(f *groupFacts) { f.settlePosition, f.settleTerm = r.status.Position(), g.GetTerm() })
+		if r.name == g.GetPrimary() && primaryAnswered(replies, g) {
+			s.updateFacts(facts.watch, func(f *groupFacts) { f.watermark, f.watermarkTerm = r.status.Position(), g.GetTerm() })
 			return nil
 		}
 	}
-	return &NotSettled{Database: g.GetDatabase(), Reason: "the primary does not answer"}
+	return &MemberChangeDeferred{Database: g.GetDatabase(), Reason: "the primary does not answer"}
 }
 
 // countHolding returns how many of the upstreams follow the group's term and hold
 // everything up to position p.
-func holding(replies []reply, g *pb.Group, p upstream.Position) int {
+func countHolding(replies []reply, g *pb.Group, p upstream.Position) int {
 	n := 0
 	for _, r := range replies {
 		if r.err == nil && uint64(r.status.Term) == g.GetTerm() && r.status.Includes(p) {
@@ -134,22 +134,22 @@
 // changeMember logs the change of a member, after it has checked again that a
 // majority of the members holds everything up to the watermark, and so does a new
 // member.
-func (s *Supervisor) changeMember(ctx context.Context, g *pb.Group, w groupFacts, change memberChange) error {
+func (s *Supervisor) changeMember(ctx context.Context, g *pb.Group, facts groupFacts, change memberChange) error {
 	frame := s.journal.Frame()
-	replies, err := s.ask(ctx, membersOf(frame, g), askStatus, never)
+	replies, err := s.ask(ctx, membersOf(frame, g), askStatus, waitForAll)
 	if err != nil {
 		return err
 	}
-	if holding(replies, g, w.settlePosition) < majority(g) {
-		return &NotSettled{Database: g.GetDatabase(), Reason: "no majority has caught up"}
+	if countHolding(replies, g, facts.watermark) < majority(g) {
+		return &MemberChangeDeferred{Database: g.GetDatabase(), Reason: "no majority has caught up"}
 	}
 	if !change.remove {
-		if err := s.caughtUp(ctx, frame, g, w, change.upstream); err != nil {
+		if err := s.checkCaughtUp(ctx, frame, g, facts, change.upstream); err != nil {
 			return err
 		}
 	}
 	s.log.Info("change of a group member proposed", "database", g.GetDatabase(), "upstream", change.upstream, "remove", change.remove)
-	return s.step(ctx, g, "change_member", &pb.Command{Command: &pb.Command_ChangeMember{ChangeMember: &pb.ChangeMember{
+	return s.logStep(ctx, g, "change_member", &pb.Command{Command: &pb.Command_ChangeMember{ChangeMember: &pb.ChangeMember{
 		Database: g.GetDatabase(),
 		Upstream: change.upstream,
 		Remove:   change.remove,
@@ -157,13 +157,13 @@
 	}}})
 }
 
-func (s *Supervisor) caughtUp(ctx context.Context, frame *controlstate.Frame, g *pb.Group, w groupFacts, name string) error {
-	replies, err := s.ask(ctx, []*pb.Upstream{frame.Upstreams[name]}, askStatus, never)
+func (s *Supervisor) checkCaughtUp(ctx context.Context, frame *controlstate.Frame, g *pb.Group, facts groupFacts, name string) error {
+	replies, err := s.ask(ctx, []*pb.Upstream{frame.Upstreams[name]}, askStatus, waitForAll)
 	if err != nil {
 		return err
 	}
-	if holding(replies, g, w.settlePosition) == 0 {
-		return &NotSettled{Database: g.GetDatabase(), Reason: name + " has not caught up"}
+	if countHolding(replies, g, facts.watermark) == 0 {
+		return &MemberChangeDeferred{Database: g.GetDatabase(), Reason: name + " has not caught up"}
 	}
 	return nil
 }
@@ -171,29 +171,29 @@
 // replaceLeaving changes a leaving primary while it still works. It starts the
 // change only if a majority answers and a member that is not leaving has caught
 // up with the watermark.
-func (s *Supervisor) replaceLeaving(ctx context.Context, g *pb.Group, w groupFacts) error {
-	s.remember(w.watch, func(f *groupFacts) { f.replacedAt = s.now() })
+func (s *Supervisor) replaceLeaving(ctx context.Context, g *pb.Group, facts groupFacts) error {
+	s.updateFacts(facts.watch, func(f *groupFacts) { f.replacementTriedAt = s.now() })
 	frame := s.journal.Frame()
-	replies, err := s.ask(ctx, membersOf(frame, g), askStatus, never)
+	replies, err := s.ask(ctx, membersOf(frame, g), askStatus, waitForAll)
 	if err != nil {
 		return err
 	}
 	ready := 0
 	for _, r := range replies {
 		if !frame.Upstreams[r.name].GetLeaving() {
-			ready += holding([]reply{r}, g, w.settlePosition)
+			ready += countHolding([]reply{r}, g, facts.watermark)
 		}
 	}
 	if ready == 0 || len(succeeded(replies)) < majority(g) {
 		return &NoMajority{Database: g.GetDatabase(), Answered: len(succeeded(replies)), Needed: majority(g)}
 	}
-	return s.begin(ctx, g, nextTerm(g, replies), reasonLeaving)
+	return s.startChange(ctx, g, nextTerm(g, replies), reasonLeaving)
 }
 
 // decideUpstreamRemoval returns the removal of the registration of a leaving
 // upstream that is not a member any more and has been unreachable for
 // leavingRemovalTime, nil if there is none.
-func (s *Supervisor) decideRemoval(frame *controlstate.Frame, g *pb.Group, now time.Time) func(context.Context) error {
+func (s *Supervisor) decideUpstreamRemoval(frame *controlstate.Frame, g *pb.Group, now time.Time) func(context.Context) error {
 	for _, u := range followers(frame, g, g.GetPrimary()) {
 		if !u.GetLeaving() || isMember(g, u.GetName()) {
 			continue
@@ -203,7 +203,7 @@
 			continue
 		}
 		return func(ctx context.Context) error {
-			return s.step(ctx, g, "remove_upstream", &pb.Command{Command: &pb.Command_RemoveUpstream{
+			return s.logStep(ctx, g, "remove_upstream", &pb.Command{Command: &pb.Command_RemoveUpstream{
 				RemoveUpstream: &pb.RemoveUpstream{Name: u.GetName()},
 			}})
 		}
--- a/failover/members_test.go
+++ b/failover/members_test.go
@@ -23,7 +23,7 @@
 	startLeader(t, n, state, 2, nil)
 	waitFor(t, "new primary", changed(state))
 	assert.Assert(t, group(state).GetPrimary() != "a")
-	checkKept(t, n, state, upstream.Position{Term: 1, Offset: 10})
+	checkEntryKept(t, n, state, upstream.Position{Term: 1, Offset: 10})
 	waitFor(t, "removal", func() bool { return slices.Equal(members(state), []string{"b", "c"}) })
 	assert.Assert(t, group(state).GetPrimary() != "a")
 }
@@ -35,7 +35,7 @@
 	register(state, "a", true)
 	j := newJournal(state, 2, nil)
 	now := time.Now()
-	s := failover.New(failover.Options{Dialer: &view{net: n}, Journal: j, LeaseExpiry: time.Minute, Now: func() time.Time { return now }})
+	s := failover.New(failover.Options{Dialer: &fakeDialer{net: n}, Journal: j, LeaseExpiry: time.Minute, Now: func() time.Time { return now }})
 	for range 5 {
 		now = now.Add(time.Minute)
 		s.Tick(t.Context())
@@ -67,7 +67,7 @@
 	register(state, "e", true)
 	j := newJournal(state, 2, nil)
 	now := time.Now()
-	s := failover.New(failover.Options{Dialer: &view{net: n}, Journal: j, LeaseExpiry: time.Minute, Now: func() time.Time { return now }})
+	s := failover.New(failover.Options{Dialer: &fakeDialer{net: n}, Journal: j, LeaseExpiry: time.Minute, Now: func() time.Time { return now }})
 	ticks := func(count int) {
 		for range count {
 			now = now.Add(time.Millisecond)
@@ -94,7 +94,7 @@
 	register(state, "c", true)
 	j := newJournal(state, 2, nil)
 	now := time.Now()
-	s := failover.New(failover.Options{Dialer: &view{net: n}, Journal: j, LeaseExpiry: time.Minute, Now: func() time.Time { return now }})
+	s := failover.New(failover.Options{Dialer: &fakeDialer{net: n}, Journal: j, LeaseExpiry: time.Minute, Now: func() time.Time { return now }})
 	for range 5 {
 		now = now.Add(time.Minute)
 		j.reportAll(n, 0)
@@ -120,7 +120,7 @@
 	register(state, "c", true)
 	j := newJournal(state, 2, nil)
 	now := time.Now()
-	s := failover.New(failover.Options{Dialer: &view{net: n}, Journal: j, LeaseExpiry: time.Minute, Now: func() time.Time { return now }})
+	s := failover.New(failover.Options{Dialer: &fakeDialer{net: n}, Journal: j, LeaseExpiry: time.Minute, Now: func() time.Time { return now }})
 	for range 5 {
 		now = now.Add(time.Minute)
 		s.Tick(t.Context())
--- a/failover/repair.go
+++ b/failover/repair.go
@@ -12,7 +12,7 @@
 // decideRepair returns an order to follow the present primary for the upstreams
 // that do not, nil if there are none. Such upstreams are an old primary that has
 // returned, a new replica, or a replica to which an earlier order was lost.
-func (s *Supervisor) decideRepair(frame *controlstate.Frame, g *pb.Group, w groupFacts, now time.Time) func(context.Context) error {
+func (s *Supervisor) decideRepair(frame *controlstate.Frame, g *pb.Group, facts groupFacts, now time.Time) func(context.Context) error {
 	primary, registered := frame.Upstreams[g.GetPrimary()]
 	if !registered {
 		return nil
@@ -20,15 +20,15 @@
 	var targets []*pb.Upstream
 	for _, u := range followers(frame, g, g.GetPrimary()) {
 		report, fresh := s.freshReport(u.GetName(), now)
-		current := fresh && report.At.Sub(w.stepAt) >= reportLag && report.At.Sub(w.orderedAt) >= reportLag
-		if current && s.needsFollowOrder(g, report, now) {
+		upToDate := fresh && report.At.Sub(facts.stepSince) >= reportLag && report.At.Sub(facts.followOrderedAt) >= reportLag
+		if upToDate && s.needsFollowOrder(g, report, now) {
 			targets = append(targets, u)
 		}
 	}
 	if len(targets) == 0 {
 		return nil
 	}
-	return func(ctx context.Context) error { return s.repair(ctx, g, w, primary, targets) }
+	return func(ctx context.Context) error { return s.repair(ctx, g, facts, primary, targets) }
 }
 
 // needsFollowOrder reports whether an upstream must be ordered to follow the
@@ -42,16 +42,16 @@
 		return true
 	}
 	primary, fresh := s.freshReport(g.GetPrimary(), now)
-	return report.PrimaryContactAge >= lossTime && fresh && primary.Reachable
+	return report.PrimaryContactAge >= lossTimeout && fresh && primary.Reachable
 }
 
-func (s *Supervisor) repair(ctx context.Context, g *pb.Group, w groupFacts, primary *pb.Upstream, targets []*pb.Upstream) error {
+func (s *Supervisor) repair(ctx context.Context, g *pb.Group, facts groupFacts, primary *pb.Upstream, targets []*pb.Upstream) error {
 	order := askFollow(upstream.Term(g.GetTerm()), primary.GetAddress())
-	replies, err := s.ask(ctx, targets, order, never)
+	replies, err := s.ask(ctx, targets, order, waitForAll)
 	if err != nil {
 		return err
 	}
-	s.remember(w.watch, func(f *groupFacts) { f.orderedAt = s.now() })
+	s.updateFacts(facts.watch, func(f *groupFacts) { f.followOrderedAt = s.now() })
 	s.metrics.Counter("follow_orders_total").Inc(int64(len(replies)))
 	if higher := highestFence(replies); uint64(higher) > g.GetTerm() {
 		return s.changeAboveFence(ctx, g, higher)
@@ -65,12 +65,12 @@
 // changeAboveFence changes the primary at a term above the one at which an
 // upstream is fenced, because that upstream cannot follow at a lower term.
 func (s *Supervisor) changeAboveFence(ctx context.Context, g *pb.Group, higher upstream.Term) error {
-	replies, err := s.ask(ctx, membersOf(s.journal.Frame(), g), askStatus, never)
+	replies, err := s.ask(ctx, membersOf(s.journal.Frame(), g), askStatus, waitForAll)
 	if err != nil {
 		return err
 	}
 	if n := len(succeeded(replies)); n < majority(g) {
 		return &NoMajority{Database: g.GetDatabase(), Answered: n, Needed: majority(g)}
 	}
-	return s.begin(ctx, g, max(higher+1, nextTerm(g, replies)), reasonFenced)
+	return s.startChange(ctx, g, max(higher+1, nextTerm(g, replies)), reasonFenced)
 }
--- a/failover/watch.go
+++ b/failover/watch.go
@@ -27,29 +27,30 @@
 	// are not started before retryAt.
 	failed  kind
 	retryAt time.Time
-	// seenAt is when this leader first saw the group.
-	seenAt time.Time
-	// stepAt is since when this leader has seen the group at step and term.
-	step   pb.PromotionStep
-	term   uint64
-	stepAt time.Time
-	// membersAt is since when this leader has seen the group with members.
-	members   []string
-	membersAt time.Time
-	// settlePosition, the watermark, is a position of the primary that was
-	// read after one lease with these members. settleTerm is the group's term
-	// at that time, zero if no position was read.
-	settlePosition upstream.Position
-	settleTerm     uint64
-	// settled is set once a majority of these members holds everything up to
-	// the watermark.
-	settled bool
+	// firstSeenAt is when this leader first saw the group.
+	firstSeenAt time.Time
+	// stepSince is since when this leader has seen the group at step and term.
+	step      pb.PromotionStep
+	term      uint64
+	stepSince time.Time
+	// membersSince is since when this leader has seen the group with members.
+	members      []string
+	membersSince time.Time
+	// watermark is a position of the primary that was read after one lease
+	// with these members. watermarkTerm is the group's term at that time, zero
+	// if no position was read.
+	watermark     upstream.Position
+	watermarkTerm uint64
+	// majorityCaughtUp is set once a majority of these members holds
+	// everything up to the watermark.
+	majorityCaughtUp bool
 	// promoteFailures counts failed promotions at term.
 	promoteFailures int
-	// orderedAt is when upstreams were last ordered to follow the primary.
-	orderedAt time.Time
-	// replacedAt is when the replacement of a leaving primary was last tried.
-	replacedAt time.Time
+	// followOrderedAt is when upstreams were last ordered to follow the primary.
+	followOrderedAt time.Time
+	// replacementTriedAt is when the replacement of a leaving primary was last
+	// tried.
+	replacementTriedAt time.Time
 }
 
 // mayTry reports whether an action of a kind may start: it is not delayed by the
@@ -67,22 +68,22 @@
 	if !known {
 		w = &groupWatch{database: g.GetDatabase()}
 		w.watch = w
-		w.seenAt = now
+		w.firstSeenAt = now
 		s.groups[g.GetDatabase()] = w
 	}
 	if !known || w.step != g.GetStep() || w.term != g.GetTerm() {
-		w.step, w.term, w.stepAt = g.GetStep(), g.GetTerm(), now
+		w.step, w.term, w.stepSince = g.GetStep(), g.GetTerm(), now
 		w.promoteFailures = 0
 	}
 	if !known || !slices.Equal(w.members, g.GetMembers()) {
-		w.members, w.membersAt = g.GetMembers(), now
-		w.settleTerm, w.settled = 0, false
+		w.members, w.membersSince = g.GetMembers(), now
+		w.watermarkTerm, w.majorityCaughtUp = 0, false
 	}
 	return w.groupFacts, w.busy
 }
 
 // updateFacts changes the facts of a group.
-func (s *Supervisor) remember(w *groupWatch, change func(*groupFacts)) {
+func (s *Supervisor) updateFacts(w *groupWatch, change func(*groupFacts)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&w.groupFacts)
--- a/site/state.go
+++ b/site/state.go
@@ -118,15 +118,15 @@
 	if u == nil || !evictAddress(state, u) {
 		return false
 	}
-	at := slices.IndexFunc(state.Upstreams, func(r *pb.SiteUpstream) bool { return r.Id == u.Id })
-	if at < 0 {
+	i := slices.IndexFunc(state.Upstreams, func(r *pb.SiteUpstream) bool { return r.Id == u.Id })
+	if i < 0 {
 		state.Upstreams = append(state.Upstreams, u)
 		return true
 	}
-	if !Supersedes(u, state.Upstreams[at]) {
+	if !Supersedes(u, state.Upstreams[i]) {
 		return false
 	}
-	state.Upstreams[at] = u
+	state.Upstreams[i] = u
 	return true
 }
 
@@ -157,14 +157,14 @@
 // editGroup replaces the record of a group, or a new one if it has none, by a
 // copy that edit has changed.
 func editGroup(state *pb.SiteState, group string, edit func(*pb.SiteGroupState)) {
-	at := slices.IndexFunc(state.Groups, func(g *pb.SiteGroupState) bool { return g.Group == group })
-	if at < 0 {
-		at = len(state.Groups)
+	i := slices.IndexFunc(state.Groups, func(g *pb.SiteGroupState) bool { return g.Group == group })
+	if i < 0 {
+		i = len(state.Groups)
 		state.Groups = append(state.Groups, &pb.SiteGroupState{Group: group})
 	}
-	copied := proto.Clone(state.Groups[at]).(*pb.SiteGroupState)
+	copied := proto.Clone(state.Groups[i]).(*pb.SiteGroupState)
 	edit(copied)
-	state.Groups[at] = copied
+	state.Groups[i] = copied
 }
 
 // orderPrimary records a promotion order, which the leader logs before it sends
@@ -206,9 +206,11 @@
 }
 
 // Upstream returns the record of an upstream, or nil if there is none.
-func Upstream(state *pb.SiteState, id string) *pb.SiteUpstream { return find(state.Upstreams, id) }
+func Upstream(state *pb.SiteState, id string) *pb.SiteUpstream {
+	return findUpstream(state.Upstreams, id)
+}
 
-func find(upstreams []*pb.SiteUpstream, id string) *pb.SiteUpstream {
+func findUpstream(upstreams []*pb.SiteUpstream, id string) *pb.SiteUpstream {
 	for _, u := range upstreams {
 		if u.Id == id {
 			return u
--- a/site/state_test.go
+++ b/site/state_test.go
@@ -9,18 +9,18 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// log applies commands to a state with rising indexes, as the consensus does.
-type log struct {
+// testLog applies commands to a state with rising indexes, as the consensus does.
+type testLog struct {
 	t     *testing.T
 	state *State
 	index uint64
 }
 
-func newLog(t *testing.T) *log { return &log{t: t, state: NewState()} }
+func newTestLog(t *testing.T) *testLog { return &testLog{t: t, state: NewState()} }
 
 // apply applies a command at the next index and reports whether it changed the
 // state.
-func (l *log) apply(c *pb.SiteCommand) bool {
+func (l *testLog) apply(c *pb.SiteCommand) bool {
 	l.t.Helper()
 	l.index++
 	command, err := proto.Marshal(c)
@@ -31,26 +31,26 @@
 	return result.Changed
 }
 
-func (l *log) store(version uint64, document string) bool {
+func (l *testLog) store(version uint64, document string) bool {
 	config := &pb.SiteConfig{Version: version}
 	return l.apply(&pb.SiteCommand{Command: &pb.SiteCommand_StoreConfig{
 		StoreConfig: &pb.StoreConfig{Config: config, Document: []byte(document)},
 	}})
 }
 
-func (l *log) record(id, address string, born int64, sequence uint64) bool {
+func (l *testLog) record(id, address string, born int64, sequence uint64) bool {
 	return l.apply(&pb.SiteCommand{Command: &pb.SiteCommand_RecordUpstream{
 		RecordUpstream: &pb.SiteUpstream{Id: id, Address: address, BornMs: born, Sequence: sequence},
 	}})
 }
 
-func (l *log) order(upstream string, previous uint64) bool {
+func (l *testLog) order(upstream string, previous uint64) bool {
 	return l.apply(&pb.SiteCommand{Command: &pb.SiteCommand_OrderPrimary{
 		OrderPrimary: &pb.OrderPrimary{Group: "g", Upstream: upstream, PreviousOrder: previous},
 	}})
 }
 
-func (l *log) current() *pb.SiteState {
+func (l *testLog) current() *pb.SiteState {
 	state, _, _ := l.state.Current()
 	return state
 }
@@ -59,7 +59,7 @@
 // later log entry must not replace a higher version, nor the same version with
 // other content.
 func TestOnlyAHigherVersionIsStored(t *testing.T) {
-	l := newLog(t)
+	l := newTestLog(t)
 	assert.Assert(t, l.store(0, "zero"), "the first configuration may have version 0")
 	assert.Assert(t, l.store(7, "seven"))
 	assert.Assert(t, !l.store(5, "five"))
@@ -70,7 +70,7 @@
 // Guards against a delayed announcement of a process that has ended, which would
 // replace a later process with the same id or at the same address.
 func TestLateAnnouncementsAreNotRecorded(t *testing.T) {
-	l := newLog(t)
+	l := newTestLog(t)
 	assert.Assert(t, l.record("a", "10.0.0.1:1", 100, 5))
 	assert.Assert(t, !l.record("a", "10.0.0.1:1", 100, 4))
 	assert.Assert(t, !l.record("a", "10.0.0.1:1", 90, 9))
@@ -83,7 +83,7 @@
 // Guards against an upstream that is removed by a delayed removal of the process
 // that had the same id before.
 func TestOnlyTheNamedProcessIsRemoved(t *testing.T) {
-	l := newLog(t)
+	l := newTestLog(t)
 	l.record("a", "10.0.0.1:1", 200, 1)
 	remove := func(born int64) bool {
 		return l.apply(&pb.SiteCommand{Command: &pb.SiteCommand_RemoveUpstream{
@@ -97,7 +97,7 @@
 // Guards against two leaders that order the promotion of different upstreams
 // from the same state.
 func TestOrdersFollowEachOther(t *testing.T) {
-	l := newLog(t)
+	l := newTestLog(t)
 	assert.Assert(t, l.order("a", 0))
 	first := Group(l.current(), "g").Order
 	assert.Assert(t, !l.order("b", 0), "an order from an old state")
@@ -112,7 +112,7 @@
 // Guards against parts of the state that are missing from a snapshot, and against
 // returned states that change later.
 func TestSnapshotHoldsTheWholeState(t *testing.T) {
-	l := newLog(t)
+	l := newTestLog(t)
 	l.store(7, "seven")
 	l.record("a", "10.0.0.1:1", 100, 5)
 	l.order("a", 0)
--- a/site/view.go
+++ b/site/view.go
@@ -56,7 +56,7 @@
 func (v *View) Groups() []*GroupView { return v.sorted }
 
 // Upstream returns an upstream of the group, or nil.
-func (g *GroupView) Upstream(id string) *pb.SiteUpstream { return find(g.Upstreams, id) }
+func (g *GroupView) Upstream(id string) *pb.SiteUpstream { return findUpstream(g.Upstreams, id) }
 
 // ViewParts are the parts from which a view is built. A proxy may receive them in
 // different updates.
--- a/sitecontrol/announce.go
+++ b/sitecontrol/announce.go
@@ -26,15 +26,15 @@
 func (s *Server) announce(ctx context.Context, u *pb.SiteUpstream, ended bool) error {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	if _, leads := s.o.Consensus.Leadership(); leads {
+	if _, leads := s.options.Consensus.Leadership(); leads {
 		return s.handleAnnouncement(ctx, u, ended)
 	}
-	_, address, ok := s.o.Consensus.Leader()
-	if !ok || address == s.o.Address {
+	_, address, ok := s.options.Consensus.Leader()
+	if !ok || address == s.options.Address {
 		return noLeader()
 	}
 	request := &pb.AnnounceUpstreamRequest{Upstream: u, Ended: ended}
-	if _, err := s.clients.At(address).Announce(ctx, connect.NewRequest(request)); err != nil {
+	if _, err := s.clients.ForAddress(address).Announce(ctx, connect.NewRequest(request)); err != nil {
 		return &fault.IO{Op: "pass announcement to the leader", Err: err}
 	}
 	return nil
@@ -46,7 +46,7 @@
 
 // Announce implements SiteService.
 func (s *Server) Announce(ctx context.Context, r *connect.Request[pb.AnnounceUpstreamRequest]) (*connect.Response[pb.AnnounceUpstreamResponse], error) {
-	if _, leads := s.o.Consensus.Leadership(); !leads {
+	if _, leads := s.options.Consensus.Leadership(); !leads {
 		return nil, unavailable(noLeader())
 	}
 	if err := s.handleAnnouncement(ctx, r.Msg.Upstream, r.Msg.Ended); err != nil {
@@ -57,11 +57,11 @@
 
 func (s *Server) handleAnnouncement(ctx context.Context, u *pb.SiteUpstream, ended bool) error {
 	if ended {
-		return s.handleEnd(ctx, u.Id)
+		return s.handleRemoval(ctx, u.Id)
 	}
-	state, _, _ := s.o.State.Current()
+	state, _, _ := s.options.State.Current()
 	record := site.Upstream(state, u.Id)
-	if !s.noteAnnouncement(u, record) {
+	if !s.acceptAnnouncement(u, record) {
 		s.log.Debug("announcement ignored: a newer one of the upstream is known", "upstream", u.Id, "sequence", u.Sequence)
 		return nil
 	}
@@ -69,7 +69,7 @@
 		return nil
 	}
 	if err := s.recordUpstream(ctx, u); err != nil {
-		s.forget(u)
+		s.forgetAnnouncement(u)
 		return err
 	}
 	s.log.Info("upstream recorded", "upstream", u.Id, "group", u.Group, "address", u.Address,
@@ -85,27 +85,27 @@
 // acceptAnnouncement reports whether an announcement is newer than the last one
 // that this host received from the upstream and than the upstream's record in
 // the log. If so, it becomes the last one received.
-func (s *Server) noteAnnouncement(u, record *pb.SiteUpstream) bool {
+func (s *Server) acceptAnnouncement(u, record *pb.SiteUpstream) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last, ok := s.seen[u.Id]
+	last, ok := s.announcements[u.Id]
 	if ok && !site.Supersedes(u, last.upstream) {
 		return false
 	}
 	if record != nil && !site.Supersedes(u, record) {
 		return false
 	}
-	s.seen[u.Id] = announcement{upstream: u, at: now()}
+	s.announcements[u.Id] = announcement{upstream: u, receivedAt: now()}
 	return true
 }
 
 // forgetAnnouncement makes a retry of an announcement that could not be
 // committed count as new.
-func (s *Server) forget(u *pb.SiteUpstream) {
+func (s *Server) forgetAnnouncement(u *pb.SiteUpstream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.seen[u.Id].upstream == u {
-		delete(s.seen, u.Id)
+	if s.announcements[u.Id].upstream == u {
+		delete(s.announcements, u.Id)
 	}
 }
 
@@ -117,8 +117,8 @@
 	return proto.Equal(copied, b)
 }
 
-func (s *Server) handleEnd(ctx context.Context, id string) error {
-	state, _, _ := s.o.State.Current()
+func (s *Server) handleRemoval(ctx context.Context, id string) error {
+	state, _, _ := s.options.State.Current()
 	record := site.Upstream(state, id)
 	if record == nil {
 		return nil
--- a/sitecontrol/clients.go
+++ b/sitecontrol/clients.go
@@ -10,7 +10,7 @@
 // Clients caches clients of the site service, one for each internal address of
 // a control host. It is safe for concurrent use.
 type Clients struct {
-	http *http.Client
+	httpClient *http.Client
 
 	// mu guards byAddress.
 	mu        sync.Mutex
@@ -20,16 +20,16 @@
 // NewClients returns an empty cache; its clients send their calls through the
 // given HTTP client.
 func NewClients(client *http.Client) *Clients {
-	return &Clients{http: client, byAddress: make(map[string]lovageslipv1connect.SiteServiceClient)}
+	return &Clients{httpClient: client, byAddress: make(map[string]lovageslipv1connect.SiteServiceClient)}
 }
 
 // ForAddress returns the client of the control host at an internal address.
-func (c *Clients) At(address string) lovageslipv1connect.SiteServiceClient {
+func (c *Clients) ForAddress(address string) lovageslipv1connect.SiteServiceClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	client, ok := c.byAddress[address]
 	if !ok {
-		client = lovageslipv1connect.NewSiteServiceClient(c.http, "http://"+address)
+		client = lovageslipv1connect.NewSiteServiceClient(c.httpClient, "http://"+address)
 		c.byAddress[address] = client
 	}
 	return client
--- a/sitecontrol/document.go
+++ b/sitecontrol/document.go
@@ -11,7 +11,7 @@
 // compressDocument compresses a configuration document with gzip for the log,
 // whose entries are limited in size. Documents repeat the names of their fields
 // for each route, so that they shrink to about a tenth.
-func pack(document []byte) ([]byte, error) {
+func compressDocument(document []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
 	if _, err := w.Write(document); err != nil {
@@ -25,7 +25,7 @@
 
 // decompressDocument returns a stored document as the operator sent it, or nil
 // if none is stored.
-func unpack(packed []byte) ([]byte, error) {
+func decompressDocument(packed []byte) ([]byte, error) {
 	if len(packed) == 0 {
 		return nil, nil
 	}
--- a/sitecontrol/host_test.go
+++ b/sitecontrol/host_test.go
@@ -28,11 +28,11 @@
 	orders   []order
 	// steppedDown lists the upstreams that were asked to step down.
 	steppedDown []string
-	// lost is set if an upstream was promoted that had not received all
+	// commitsLost is set if an upstream was promoted that had not received all
 	// commits of the others that run.
-	lost bool
-	// lose makes promotions take effect and return an error.
-	lose bool
+	commitsLost bool
+	// loseAnswers makes promotions take effect and return an error.
+	loseAnswers bool
 }
 
 type order struct {
@@ -86,10 +86,10 @@
 		f.term++
 	}
 	for other, offset := range f.received {
-		f.lost = f.lost || (other != id && !f.dead[other] && offset > f.received[id])
+		f.commitsLost = f.commitsLost || (other != id && !f.dead[other] && offset > f.received[id])
 	}
 	f.primary[group] = id
-	if f.lose {
+	if f.loseAnswers {
 		return &fault.IO{Op: "promote", Err: context.DeadlineExceeded}
 	}
 	return nil
@@ -101,7 +101,7 @@
 	change()
 }
 
-func (f *fakeUpstreams) given() []order {
+func (f *fakeUpstreams) receivedOrders() []order {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]order(nil), f.orders...)
@@ -157,7 +157,7 @@
 }
 
 // startCluster starts control hosts that are members of one consensus.
-func cluster(t *testing.T, count int, fake *fakeUpstreams) []*testHost {
+func startCluster(t *testing.T, count int, fake *fakeUpstreams) []*testHost {
 	t.Helper()
 	var listeners []net.Listener
 	var initial []consensus.Member
@@ -191,7 +191,7 @@
 	t.Fatalf("timed out: %s", what)
 }
 
-func store(t *testing.T, h *testHost, version uint64, document string) {
+func storeConfig(t *testing.T, h *testHost, version uint64, document string) {
 	t.Helper()
 	config := &pb.SiteConfig{Version: version, Groups: []*pb.SiteGroup{{Name: "g", MaxConnections: 10}}}
 	waitFor(t, "configuration stored", func() bool {
@@ -201,7 +201,7 @@
 	})
 }
 
-func document(h *testHost) string {
+func readDocument(h *testHost) string {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	data, err := h.server.Document(ctx)
@@ -219,7 +219,7 @@
 }
 
 func primaryOf(h *testHost, group string) string {
-	state, _, _ := h.server.o.State.Current()
+	state, _, _ := h.server.options.State.Current()
 	return site.Group(state, group).GetPrimary()
 }
 
--- a/sitecontrol/lead.go
+++ b/sitecontrol/lead.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	leadInterval = 50 * time.Millisecond
-	// proxiesSettle is how long the number of running proxies must stay below
+	leaderCheckInterval = 50 * time.Millisecond
+	// proxyDecreaseDelay is how long the number of running proxies must stay below
 	// the recorded one before the lower number is recorded, so that the
 	// restart of a proxy changes nothing.
-	proxiesSettle = 10 * time.Second
+	proxyDecreaseDelay = 10 * time.Second
 )
 
 // Run runs the background tasks of a control host until ctx ends: it joins the
@@ -31,31 +31,31 @@
 
 // runLeadership runs the leader's duties in each term in which this host leads.
 func (s *Server) runLeadership(ctx context.Context) {
-	for pause.For(ctx, leadInterval) {
-		if term, leads := s.o.Consensus.Leadership(); leads {
-			s.lead(ctx, term)
+	for pause.For(ctx, leaderCheckInterval) {
+		if term, leads := s.options.Consensus.Leadership(); leads {
+			s.runLeaderDuties(ctx, term)
 		}
 	}
 }
 
-func (s *Server) lead(ctx context.Context, term uint64) {
+func (s *Server) runLeaderDuties(ctx context.Context, term uint64) {
 	ctx, cancel := context.WithCancel(ctx)
 	var group conc.WaitGroup
 	defer group.Wait()
 	defer cancel()
 	s.log.Info("this host leads the control hosts", "term", term)
-	s.startSeen()
+	s.resetAnnouncementTimes()
 	group.Go(func() { s.runMembership(ctx) })
 	group.Go(func() { s.runGroups(ctx) })
 	group.Go(func() { s.runProxyCount(ctx) })
-	for pause.For(ctx, leadInterval) {
+	for pause.For(ctx, leaderCheckInterval) {
 		// An expired lease may be renewed within the same term, so it does not
 		// end the duties. Each of them checks the lease by proposing to the log
 		// what it does.
-		if s.o.Consensus.Status().Term != term {
+		if s.options.Consensus.Status().Term != term {
 			break
 		}
-		if _, _, known := s.o.Consensus.Leader(); !known {
+		if _, _, known := s.options.Consensus.Leader(); !known {
 			break
 		}
 	}
@@ -65,23 +65,23 @@
 // resetAnnouncementTimes counts each recorded upstream as announced at the
 // start of a term, because a new leader does not know when the last
 // announcement reached the one before it.
-func (s *Server) startSeen() {
-	state, _, _ := s.o.State.Current()
+func (s *Server) resetAnnouncementTimes() {
+	state, _, _ := s.options.State.Current()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, u := range state.Upstreams {
-		last, ok := s.seen[u.Id]
+		last, ok := s.announcements[u.Id]
 		if !ok {
 			last.upstream = u
 		}
-		last.at = now()
-		s.seen[u.Id] = last
+		last.receivedAt = now()
+		s.announcements[u.Id] = last
 	}
 }
 
 func (s *Server) runMembership(ctx context.Context) {
 	for pause.For(ctx, membershipInterval) {
-		s.keepMembership(ctx)
+		s.removeUnneededMember(ctx)
 	}
 }
 
@@ -91,12 +91,12 @@
 func (s *Server) runProxyCount(ctx context.Context) {
 	lowerSince := now()
 	for pause.For(ctx, time.Second) {
-		state, _, _ := s.o.State.Current()
+		state, _, _ := s.options.State.Current()
 		count := s.gatherReports(true).Proxies
 		if count >= state.Proxies {
 			lowerSince = now()
 		}
-		if count <= state.Proxies && now().Sub(lowerSince) < proxiesSettle {
+		if count <= state.Proxies && now().Sub(lowerSince) < proxyDecreaseDelay {
 			continue
 		}
 		if count == 0 || count == state.Proxies {
--- a/sitecontrol/membership.go
+++ b/sitecontrol/membership.go
@@ -15,26 +15,26 @@
 
 const (
 	membershipInterval = 250 * time.Millisecond
-	// joinAfter is how long a host waits without a leader before it asks to
+	// joinDelay is how long a host waits without a leader before it asks to
 	// be added. Elections take less than a second.
-	joinAfter   = 1500 * time.Millisecond
+	joinDelay   = 1500 * time.Millisecond
 	joinTimeout = time.Second
-	// removeAfter is how long a voter beyond the needed number must be silent
-	// before it is removed. Such a voter has usually ended after the host that
-	// replaces it has joined.
-	removeAfter = time.Second
+	// silentVoterTimeout is how long a voter beyond the needed number must be
+	// silent before it is removed. Such a voter has usually ended after the
+	// host that replaces it has joined.
+	silentVoterTimeout = time.Second
 )
 
 // InitialMembers returns the members of the consensus at the first start of a
 // site if the host at address is one of them, and nil if it is not: it then asks
 // to be added. All hosts have the same seeds at the first start.
 func InitialMembers(address string, seeds []string) []consensus.Member {
-	chosen := founders(seeds)
-	if !slices.Contains(chosen, address) {
+	addresses := initialAddresses(seeds)
+	if !slices.Contains(addresses, address) {
 		return nil
 	}
 	var members []consensus.Member
-	for _, seed := range chosen {
+	for _, seed := range addresses {
 		members = append(members, consensus.Member{Name: seed, Address: seed})
 	}
 	return members
@@ -42,7 +42,7 @@
 
 // initialAddresses returns as many seeds as may be members. It picks them evenly
 // from the sorted list, so that they are in different data centres.
-func founders(seeds []string) []string {
+func initialAddresses(seeds []string) []string {
 	sorted := slices.Sorted(slices.Values(seeds))
 	count := min(len(sorted), maxMembers)
 	for i := range count {
@@ -55,47 +55,47 @@
 // new, has lost its disk, or was replaced while it was down.
 func (s *Server) runJoin(ctx context.Context) {
 	lastLeader := now()
-	if len(s.o.Consensus.Members()) == 0 {
-		lastLeader = lastLeader.Add(-joinAfter)
+	if len(s.options.Consensus.Members()) == 0 {
+		lastLeader = lastLeader.Add(-joinDelay)
 	}
-	for next := membershipInterval; ctx.Err() == nil; pause.For(ctx, next) {
-		next = membershipInterval
-		if _, _, ok := s.o.Consensus.Leader(); ok {
+	for delay := membershipInterval; ctx.Err() == nil; pause.For(ctx, delay) {
+		delay = membershipInterval
+		if _, _, ok := s.options.Consensus.Leader(); ok {
 			lastLeader = now()
-			s.noteLeader()
+			s.recordLeaderContact()
 			continue
 		}
-		if now().Sub(lastLeader) >= joinAfter && s.join(ctx) {
-			next = standbyInterval
+		if now().Sub(lastLeader) >= joinDelay && s.join(ctx) {
+			delay = standbyInterval
 		}
 	}
 }
 
-func (s *Server) noteLeader() {
+func (s *Server) recordLeaderContact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaderAt = now()
+	s.lastLeaderAt = now()
 	s.standby = nil
 }
 
 // timeWithoutLeader returns the time since this host last knew a leader, or
 // since it started if it has known none.
-func (s *Server) leaderlessFor() time.Duration {
+func (s *Server) timeWithoutLeader() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now().Sub(s.leaderAt)
+	return now().Sub(s.lastLeaderAt)
 }
 
 // maxPeersAsked bounds the peers that are asked in one round. On a large site
 // most of the seeds stand by, and each of them can name the members.
-const maxAsked = 5
+const maxPeersAsked = 5
 
 // join asks some of the peers to add this host as a member, until one of them
 // has decided. It reports whether this host stands by because it is not needed.
 func (s *Server) join(ctx context.Context) (standsBy bool) {
 	peers := s.peerAddresses()
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	for _, address := range peers[:min(len(peers), maxAsked)] {
+	for _, address := range peers[:min(len(peers), maxPeersAsked)] {
 		response, err := s.askToJoin(ctx, address)
 		if err != nil {
 			s.log.Info("request to join the control hosts failed", "through", address, "error", err)
@@ -110,7 +110,7 @@
 			if s.standbyMembers() == nil {
 				s.log.Info("this host stands by: enough control hosts are members", "members", response.Members, "leader", response.Leader)
 			}
-			s.setStandby(&standby{members: response.Members, leader: response.Leader})
+			s.setStandby(&standbyInfo{members: response.Members, leader: response.Leader})
 			return true
 		}
 	}
@@ -120,28 +120,28 @@
 func (s *Server) askToJoin(ctx context.Context, address string) (*pb.JoinResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	response, err := s.clients.At(address).Join(ctx, connect.NewRequest(&pb.JoinRequest{Address: s.o.Address}))
+	response, err := s.clients.ForAddress(address).Join(ctx, connect.NewRequest(&pb.JoinRequest{Address: s.options.Address}))
 	if err != nil {
 		return nil, err
 	}
 	if response.Msg.Outcome == pb.JoinOutcome_JOIN_OUTCOME_UNSPECIFIED {
-		s.learn(response.Msg.Members)
+		s.setDiscoveredPeers(response.Msg.Members)
 	}
 	return response.Msg, nil
 }
 
 // setDiscoveredPeers stores the control hosts that a peer has named. They are
 // asked next, because none of this host's own seeds may be able to add it.
-func (s *Server) learn(members []string) {
+func (s *Server) setDiscoveredPeers(members []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.learned = members
+	s.discoveredPeers = members
 }
 
 // peerAddresses lists the other control hosts that may be running.
 func (s *Server) peerAddresses() []string {
 	s.mu.Lock()
-	addresses := slices.Concat(s.learned, s.o.Seeds())
+	addresses := slices.Concat(s.discoveredPeers, s.options.Seeds())
 	if s.standby != nil {
 		addresses = append(addresses, s.standby.members...)
 	}
@@ -149,19 +149,19 @@
 	addresses = append(addresses, s.memberAddresses()...)
 	slices.Sort(addresses)
 	addresses = slices.Compact(addresses)
-	return slices.DeleteFunc(addresses, func(a string) bool { return a == s.o.Address })
+	return slices.DeleteFunc(addresses, func(a string) bool { return a == s.options.Address })
 }
 
 // removeUnneededMember removes one member that is not needed any more, if there
 // is one.
-func (s *Server) keepMembership(ctx context.Context) {
-	m, reason, ok := s.superfluous(s.o.Consensus.Status().Members)
+func (s *Server) removeUnneededMember(ctx context.Context) {
+	m, reason, ok := s.memberToRemove(s.options.Consensus.Status().Members)
 	if !ok {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
-	err := s.o.Consensus.RemoveMember(ctx, m.Name)
+	err := s.options.Consensus.RemoveMember(ctx, m.Name)
 	s.log.Info("removal of a control host from the members requested", "member", m.Name, "reason", reason, "silent", m.Silent, "error", err)
 }
 
@@ -169,7 +169,7 @@
 // member that has lost its disk has no vote until it is removed and added again.
 // If there are more voters than the tolerated losses need, the one that has been
 // silent for longest has been replaced.
-func (s *Server) superfluous(members []consensus.MemberStatus) (consensus.MemberStatus, string, bool) {
+func (s *Server) memberToRemove(members []consensus.MemberStatus) (consensus.MemberStatus, string, bool) {
 	voters := 0
 	var silent consensus.MemberStatus
 	for _, m := range members {
@@ -183,7 +183,7 @@
 			silent = m
 		}
 	}
-	if voters > s.neededVoters() && silent.Silent > removeAfter {
+	if voters > s.neededVoters() && silent.Silent > silentVoterTimeout {
 		return silent, "replaced", true
 	}
 	return consensus.MemberStatus{}, "", false
--- a/sitecontrol/positions.go
+++ b/sitecontrol/positions.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// sampleAge is the age from which a group's position is asked for again.
+	// sampleRefreshAge is the age from which a group's position is asked for again.
 	// The staleness bounds that operators set are above a second.
-	sampleAge     = 200 * time.Millisecond
-	sampleTimeout = 400 * time.Millisecond
+	sampleRefreshAge = 200 * time.Millisecond
+	sampleTimeout    = 400 * time.Millisecond
 	// sampleWait is how long a call waits for a new sample if the newest one
 	// is older than sampleMaxAge, which makes it useless to callers.
-	sampleWait    = 250 * time.Millisecond
-	sampleUseless = time.Second
+	sampleWait   = 250 * time.Millisecond
+	sampleMaxAge = time.Second
 )
 
 // positionSample is the newest known position of a group's primary. Server.mu
 // guards it.
-type sampledGroup struct {
+type positionSample struct {
 	position upstream.Position
 	askedAt  time.Time
 	// done is closed when the call that takes the next sample has ended; it
 	// is nil if no such call is running.
-	running chan struct{}
+	done chan struct{}
 }
 
 // Positions implements SiteService. It answers from samples that are shared by
@@ -45,19 +45,19 @@
 }
 
 func (s *Server) position(ctx context.Context, group string) *pb.GroupPosition {
-	running, age := s.startSample(group)
-	if running != nil && age > sampleUseless {
+	done, age := s.startSample(group)
+	if done != nil && age > sampleMaxAge {
 		timer := time.NewTimer(sampleWait)
 		defer timer.Stop()
 		select {
-		case <-running:
+		case <-done:
 		case <-timer.C:
 		case <-ctx.Done():
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := s.sampled[group]
+	g := s.samples[group]
 	if g == nil || g.askedAt.IsZero() {
 		return nil
 	}
@@ -74,27 +74,27 @@
 // startSample takes a sample of a group's position in the background if one is
 // due. It returns a channel that is closed when that has ended, nil if none is
 // due, and the age of the newest sample.
-func (s *Server) startSample(group string) (running <-chan struct{}, age time.Duration) {
+func (s *Server) startSample(group string) (done <-chan struct{}, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := s.sampled[group]
+	g := s.samples[group]
 	if g == nil {
-		g = &sampledGroup{}
-		s.sampled[group] = g
+		g = &positionSample{}
+		s.samples[group] = g
 	}
 	age = now().Sub(g.askedAt)
-	if age < sampleAge {
+	if age < sampleRefreshAge {
 		return nil, age
 	}
-	if g.running == nil {
+	if g.done == nil {
 		ended := make(chan struct{})
-		g.running = ended
+		g.done = ended
 		go func() {
 			defer close(ended)
 			s.takeSample(group)
 		}()
 	}
-	return g.running, age
+	return g.done, age
 }
 
 func (s *Server) takeSample(group string) {
@@ -107,20 +107,20 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := s.sampled[group]
-	g.running = nil
+	g := s.samples[group]
+	g.done = nil
 	if err == nil {
 		g.position, g.askedAt = position, askedAt
 	}
 }
 
 func (s *Server) askPosition(ctx context.Context, group string) (upstream.Position, error) {
-	state, _, _ := s.o.State.Current()
+	state, _, _ := s.options.State.Current()
 	primary := site.Upstream(state, site.Group(state, group).GetPrimary())
 	if primary == nil {
 		return upstream.Position{}, &NoPrimary{Group: group}
 	}
-	return s.o.Prober.Position(ctx, primary)
+	return s.options.Prober.Position(ctx, primary)
 }
 
 // NoPrimary reports a group whose primary is not known.
--- a/sitecontrol/primary.go
+++ b/sitecontrol/primary.go
@@ -20,62 +20,62 @@
 	// a failure. The probe needs no slot of the upstream.
 	probeInterval = 300 * time.Millisecond
 	probeTimeout  = 400 * time.Millisecond
-	// primaryLostAfter is how long a primary must fail to answer this host,
+	// primaryLossTimeout is how long a primary must fail to answer this host,
 	// while at least half of the proxies cannot reach it either, before it is
 	// replaced. It covers the retransmission of a lost packet and a round trip
 	// between regions.
-	primaryLostAfter = 700 * time.Millisecond
-	// missedAfter is how long at least half of the proxies must fail to reach
-	// a primary that answers this host before it is replaced.
-	missedAfter = time.Second
-	// announcedWithin is how long after its last announcement a primary that
+	primaryLossTimeout = 700 * time.Millisecond
+	// proxiesCutOffTimeout is how long at least half of the proxies must fail
+	// to reach a primary that answers this host before it is replaced.
+	proxiesCutOffTimeout = time.Second
+	// announcementMaxAge is how long after its last announcement a primary that
 	// does not answer is taken to be cut off from this host only, if there
 	// are no proxies to ask.
-	announcedWithin = 3 * time.Second
-	// settleTimeout bounds the wait until a successor has received the last
+	announcementMaxAge = 3 * time.Second
+	// catchUpTimeout bounds the wait until a successor has received the last
 	// commits. Replicas are usually tens of milliseconds behind.
-	settleTimeout  = 800 * time.Millisecond
-	settleInterval = 20 * time.Millisecond
-	promoteTimeout = 1500 * time.Millisecond
-	// promoteRetry is the pause before a promotion order that had no effect
+	catchUpTimeout  = 800 * time.Millisecond
+	catchUpInterval = 20 * time.Millisecond
+	promoteTimeout  = 1500 * time.Millisecond
+	// promoteRetryInterval is the pause before a promotion order that had no effect
 	// yet is sent to the platform again.
-	promoteRetry = 900 * time.Millisecond
-	// orderLifetime is how long the promotion of an upstream may take before
+	promoteRetryInterval = 900 * time.Millisecond
+	// orderTimeout is how long the promotion of an upstream may take before
 	// another one is ordered. The platform may carry an order out seconds
 	// after it was sent.
-	orderLifetime = 2500 * time.Millisecond
+	orderTimeout = 2500 * time.Millisecond
 )
 
 // groupWatch is the leader's watch over the primary of one group.
 type groupWatch struct {
-	s     *Server
-	group string
+	server *Server
+	group  string
 	// probedAt is when the last probe began. unavailableSince is since when
 	// this host has found no primary that answers, zero if the last probe
 	// found one.
-	probedAt  time.Time
-	lostSince time.Time
+	probedAt         time.Time
+	unavailableSince time.Time
 	// cutOffSince is since when at least half of the proxies cannot reach the
 	// primary, zero if fewer cannot.
-	missedSince time.Time
+	cutOffSince time.Time
 	// lastUnreachableCount is how many proxies could not reach the primary at
 	// the last check.
-	lastUnreachable uint32
+	lastUnreachableCount uint32
 	// orderedAt is when the current promotion order was logged, orderSentAt
 	// when it was last sent to the platform.
-	orderedAt time.Time
-	givenAt   time.Time
+	orderedAt   time.Time
+	orderSentAt time.Time
 }
 
 func (s *Server) runGroups(ctx context.Context) {
 	watches := make(map[string]*groupWatch)
 	for pause.For(ctx, groupInterval) {
-		state, _, _ := s.o.State.Current()
+		state, _, _ := s.options.State.Current()
 		var group conc.WaitGroup
 		for _, g := range state.Config.GetGroups() {
 			w, ok := watches[g.Name]
 			if !ok {
-				w = &groupWatch{s: s, group: g.Name}
+				w = &groupWatch{server: s, group: g.Name}
 				watches[g.Name] = w
 			}
 			group.Go(func() { w.step(ctx) })
@@ -87,7 +87,7 @@
 // upstreams returns the group's recorded primary, nil if it has none, its other
 // upstreams and its record.
 func (w *groupWatch) upstreams() (primary *pb.SiteUpstream, others []*pb.SiteUpstream, g *pb.SiteGroupState) {
-	state, _, _ := w.s.o.State.Current()
+	state, _, _ := w.server.options.State.Current()
 	g = site.Group(state, w.group)
 	for _, u := range state.Upstreams {
 		switch {
@@ -110,13 +110,13 @@
 	}
 	switch {
 	case g.GetOrderOpen():
-		w.pursueOrder(ctx, g)
+		w.checkOrder(ctx, g)
 	case primary == nil:
 		w.findPrimary(ctx, others, g)
 	case primary.Leaving:
 		w.replace(ctx, primary, others, g, "primary is leaving")
 	default:
-		w.probePrimary(ctx, primary, others, g)
+		w.checkPrimary(ctx, primary, others, g)
 	}
 }
 
@@ -136,21 +136,21 @@
 
 func (w *groupWatch) record(ctx context.Context, u *pb.SiteUpstream, reason string) bool {
 	command := &pb.RecordPrimary{Group: w.group, Upstream: u.Id}
-	_, err := w.s.propose(ctx, &pb.SiteCommand{Command: &pb.SiteCommand_RecordPrimary{RecordPrimary: command}})
-	w.s.log.Info("primary recorded", "group", w.group, "upstream", u.Id, "reason", reason, "error", err)
-	w.lostSince, w.missedSince = time.Time{}, time.Time{}
+	_, err := w.server.propose(ctx, &pb.SiteCommand{Command: &pb.SiteCommand_RecordPrimary{RecordPrimary: command}})
+	w.server.log.Info("primary recorded", "group", w.group, "upstream", u.Id, "reason", reason, "error", err)
+	w.unavailableSince, w.cutOffSince = time.Time{}, time.Time{}
 	return err == nil
 }
 
 // checkPrimary probes the primary if a probe is due, and replaces it if it is
 // lost. Reports of proxies that cannot reach it make a probe due at once.
-func (w *groupWatch) probePrimary(ctx context.Context, primary *pb.SiteUpstream, others []*pb.SiteUpstream, g *pb.SiteGroupState) {
-	unreachable, proxies := w.s.complaints(primary.Id)
-	if unreachable == 0 && w.lostSince.IsZero() && now().Sub(w.probedAt) < probeInterval {
+func (w *groupWatch) checkPrimary(ctx context.Context, primary *pb.SiteUpstream, others []*pb.SiteUpstream, g *pb.SiteGroupState) {
+	unreachable, proxies := w.server.countUnreachable(primary.Id)
+	if unreachable == 0 && w.unavailableSince.IsZero() && now().Sub(w.probedAt) < probeInterval {
 		return
 	}
 	w.probedAt = now()
-	err := w.probeLead(ctx, primary)
+	err := w.probePrimaryRole(ctx, primary)
 	var busy *BusyUpstream
 	var notLeading *NotLeading
 	if errors.As(err, &notLeading) {
@@ -159,28 +159,28 @@
 	}
 	answered := err == nil || errors.As(err, &busy)
 	if answered {
-		w.lostSince = time.Time{}
-	} else if w.lostSince.IsZero() {
-		w.lostSince = w.probedAt
-		w.s.log.Warn("primary does not answer", "group", w.group, "upstream", primary.Id, "error", err,
+		w.unavailableSince = time.Time{}
+	} else if w.unavailableSince.IsZero() {
+		w.unavailableSince = w.probedAt
+		w.server.log.Warn("primary does not answer", "group", w.group, "upstream", primary.Id, "error", err,
 			"proxies_missing_it", unreachable, "proxies", proxies)
 	}
-	if w.gather(primary, unreachable, proxies).lost() {
+	if w.gatherEvidence(primary, unreachable, proxies).lost() {
 		w.replace(ctx, primary, others, g, "primary is lost")
 	}
 }
 
 // evidence is what decides whether a primary is lost.
 type evidence struct {
-	// unanswered is for how long this host's probes have failed.
-	unanswered time.Duration
-	// missed is for how long at least half of the proxies have not been able
+	// probesFailingFor is for how long this host's probes have failed.
+	probesFailingFor time.Duration
+	// cutOffFor is for how long at least half of the proxies have not been able
 	// to reach the primary.
-	missed time.Duration
+	cutOffFor time.Duration
 	// proxies is how many proxies may be served by the primary.
 	proxies uint32
-	// announced is the time since the primary last announced itself.
-	announced time.Duration
+	// sinceAnnouncement is the time since the primary last announced itself.
+	sinceAnnouncement time.Duration
 }
 
 // lost decides from the probes of this host, the reports of the proxies and the
@@ -190,74 +190,74 @@
 // are cut off from it.
 func (e evidence) lost() bool {
 	switch {
-	case e.missed >= missedAfter:
+	case e.cutOffFor >= proxiesCutOffTimeout:
 		return true
-	case e.unanswered >= primaryLostAfter && e.missed > 0:
+	case e.probesFailingFor >= primaryLossTimeout && e.cutOffFor > 0:
 		return true
 	default:
 		// Without proxies that use the primary only its announcements can show
 		// that it still runs.
-		return e.proxies == 0 && e.unanswered >= primaryLostAfter && e.announced > announcedWithin
+		return e.proxies == 0 && e.probesFailingFor >= primaryLossTimeout && e.sinceAnnouncement > announcementMaxAge
 	}
 }
 
 // gatherEvidence updates since when the proxies cannot reach the primary, and
 // returns the evidence for its loss.
-func (w *groupWatch) gather(primary *pb.SiteUpstream, unreachable, proxies uint32) evidence {
-	at := now()
-	if unreachable != w.lastUnreachable {
-		w.lastUnreachable = unreachable
-		w.s.log.Info("number of proxies that cannot reach the primary changed", "group", w.group, "upstream", primary.Id, "missing_it", unreachable, "proxies", proxies)
+func (w *groupWatch) gatherEvidence(primary *pb.SiteUpstream, unreachable, proxies uint32) evidence {
+	checkedAt := now()
+	if unreachable != w.lastUnreachableCount {
+		w.lastUnreachableCount = unreachable
+		w.server.log.Info("number of proxies that cannot reach the primary changed", "group", w.group, "upstream", primary.Id, "missing_it", unreachable, "proxies", proxies)
 	}
 	if unreachable == 0 || 2*unreachable < proxies {
-		w.missedSince = time.Time{}
-	} else if w.missedSince.IsZero() {
-		w.missedSince = at
+		w.cutOffSince = time.Time{}
+	} else if w.cutOffSince.IsZero() {
+		w.cutOffSince = checkedAt
 	}
-	w.s.mu.Lock()
-	e := evidence{proxies: proxies, announced: at.Sub(w.s.seen[primary.Id].at)}
-	w.s.mu.Unlock()
-	if !w.lostSince.IsZero() {
-		e.unanswered = at.Sub(w.lostSince)
+	w.server.mu.Lock()
+	e := evidence{proxies: proxies, sinceAnnouncement: checkedAt.Sub(w.server.announcements[primary.Id].receivedAt)}
+	w.server.mu.Unlock()
+	if !w.unavailableSince.IsZero() {
+		e.probesFailingFor = checkedAt.Sub(w.unavailableSince)
 	}
-	if !w.missedSince.IsZero() {
-		e.missed = max(at.Sub(w.missedSince), 1)
+	if !w.cutOffSince.IsZero() {
+		e.cutOffFor = max(checkedAt.Sub(w.cutOffSince), 1)
 	}
 	return e
 }
 
 // probePrimaryRole returns nil if the upstream answers as a primary, and the
 // error of Prober.Position otherwise.
-func (w *groupWatch) probeLead(ctx context.Context, u *pb.SiteUpstream) error {
+func (w *groupWatch) probePrimaryRole(ctx context.Context, u *pb.SiteUpstream) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	_, err := w.s.o.Prober.Position(ctx, u)
+	_, err := w.server.options.Prober.Position(ctx, u)
 	return err
 }
 
 func (w *groupWatch) probe(ctx context.Context, u *pb.SiteUpstream) (UpstreamStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	return w.s.o.Prober.Status(ctx, u)
+	return w.server.options.Prober.Status(ctx, u)
 }
 
 // probeResult is the answer of one upstream, or the error of its probe.
-type probed struct {
+type probeResult struct {
 	upstream *pb.SiteUpstream
 	status   UpstreamStatus
 	err      error
 }
 
-func (w *groupWatch) probeAll(ctx context.Context, upstreams []*pb.SiteUpstream) []probed {
+func (w *groupWatch) probeAll(ctx context.Context, upstreams []*pb.SiteUpstream) []probeResult {
 	var group conc.WaitGroup
 	var mu sync.Mutex
-	var answers []probed
+	var answers []probeResult
 	for _, u := range upstreams {
 		group.Go(func() {
 			status, err := w.probe(ctx, u)
 			mu.Lock()
 			defer mu.Unlock()
-			answers = append(answers, probed{u, status, err})
+			answers = append(answers, probeResult{u, status, err})
 		})
 	}
 	group.Wait()
@@ -267,7 +267,7 @@
 // findPrimary records the upstream that answers as the primary of the newest
 // term. If none does for primaryLossTimeout, it orders the promotion of one.
 func (w *groupWatch) findPrimary(ctx context.Context, upstreams []*pb.SiteUpstream, g *pb.SiteGroupState) {
-	var leader *probed
+	var leader *probeResult
 	for _, p := range w.probeAll(ctx, upstreams) {
 		if p.err != nil || p.status.Role != upstream.RolePrimary {
 			continue
@@ -280,10 +280,10 @@
 		w.record(ctx, leader.upstream, "its status reports the primary role")
 		return
 	}
-	if w.lostSince.IsZero() {
-		w.lostSince = now()
+	if w.unavailableSince.IsZero() {
+		w.unavailableSince = now()
 	}
-	if len(upstreams) > 1 && now().Sub(w.lostSince) > primaryLostAfter {
+	if len(upstreams) > 1 && now().Sub(w.unavailableSince) > primaryLossTimeout {
 		w.replace(ctx, nil, upstreams, g, "no upstream leads")
 	}
 }
@@ -292,66 +292,66 @@
 // it to the platform. An upstream that is leaving is chosen only if there is no
 // other.
 func (w *groupWatch) replace(ctx context.Context, primary *pb.SiteUpstream, others []*pb.SiteUpstream, g *pb.SiteGroupState, reason string) {
-	if now().Sub(w.orderedAt) < promoteRetry {
+	if now().Sub(w.orderedAt) < promoteRetryInterval {
 		return
 	}
 	best := mostAdvanced(w.probeAll(ctx, others))
 	if best == nil {
-		w.s.log.Warn("no replica can take over", "group", w.group, "reason", reason)
+		w.server.log.Warn("no replica can take over", "group", w.group, "reason", reason)
 		return
 	}
 	command := &pb.OrderPrimary{Group: w.group, Upstream: best.upstream.Id, PreviousOrder: g.GetOrder()}
-	result, err := w.s.propose(ctx, &pb.SiteCommand{Command: &pb.SiteCommand_OrderPrimary{OrderPrimary: command}})
-	w.s.log.Info("change of primary ordered", "group", w.group, "from", primary.GetId(), "to", best.upstream.Id,
+	result, err := w.server.propose(ctx, &pb.SiteCommand{Command: &pb.SiteCommand_OrderPrimary{OrderPrimary: command}})
+	w.server.log.Info("change of primary ordered", "group", w.group, "from", primary.GetId(), "to", best.upstream.Id,
 		"reason", reason, "position", best.status.Received, "token", result.GetIndex(), "error", err)
 	if err != nil || !result.Changed {
 		return
 	}
 	w.orderedAt = now()
-	if primary != nil && w.lostSince.IsZero() {
-		w.settle(ctx, primary, best.upstream)
+	if primary != nil && w.unavailableSince.IsZero() {
+		w.stepDownPrimary(ctx, primary, best.upstream)
 	}
-	w.give(ctx, best.upstream.Id, result.Index)
+	w.sendOrder(ctx, best.upstream.Id, result.Index)
 }
 
 // stepDownPrimary asks a primary that still answers to step down, and waits
 // until its successor has received all commits that it acknowledged. Otherwise a
 // planned change of primary would lose the commits that were not yet replicated.
-func (w *groupWatch) settle(ctx context.Context, primary, successor *pb.SiteUpstream) {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+func (w *groupWatch) stepDownPrimary(ctx context.Context, primary, successor *pb.SiteUpstream) {
+	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
-	before, err := w.s.o.Prober.Status(ctx, primary)
+	before, err := w.server.options.Prober.Status(ctx, primary)
 	if err != nil || before.Role != upstream.RolePrimary {
-		w.s.log.Info("primary is not asked to step down", "group", w.group, "upstream", primary.Id, "error", err)
+		w.server.log.Info("primary is not asked to step down", "group", w.group, "upstream", primary.Id, "error", err)
 		return
 	}
-	stepped, err := w.s.o.Prober.StepDown(ctx, primary, before.Received.Term+1)
+	stepped, err := w.server.options.Prober.StepDown(ctx, primary, before.Received.Term+1)
 	if err != nil {
-		w.s.log.Warn("primary did not step down", "group", w.group, "upstream", primary.Id, "error", err)
+		w.server.log.Warn("primary did not step down", "group", w.group, "upstream", primary.Id, "error", err)
 		return
 	}
 	for {
-		status, err := w.s.o.Prober.Status(ctx, successor)
+		status, err := w.server.options.Prober.Status(ctx, successor)
 		if err == nil && !status.Received.Before(stepped.Received) {
-			w.s.log.Info("successor holds all commits", "group", w.group, "upstream", successor.Id, "position", status.Received)
+			w.server.log.Info("successor holds all commits", "group", w.group, "upstream", successor.Id, "position", status.Received)
 			return
 		}
-		if !pause.For(ctx, settleInterval) {
-			w.s.log.Warn("successor lacks commits", "group", w.group, "upstream", successor.Id,
+		if !pause.For(ctx, catchUpInterval) {
+			w.server.log.Warn("successor lacks commits", "group", w.group, "upstream", successor.Id,
 				"wanted", stepped.Received, "position", status.Received, "error", err)
 			return
 		}
 	}
 }
 
-func mostAdvanced(answers []probed) *probed {
-	var best *probed
+func mostAdvanced(answers []probeResult) *probeResult {
+	var best *probeResult
 	for _, p := range answers {
 		var busy *BusyUpstream
 		if p.err != nil && !errors.As(p.err, &busy) {
 			continue
 		}
-		if best == nil || better(p, *best) {
+		if best == nil || preferred(p, *best) {
 			best = &p
 		}
 	}
@@ -361,7 +361,7 @@
 // preferred reports whether p is a better successor than q: one that is not
 // leaving, or else one that has received more. A busy upstream reports no
 // position and counts as having received least.
-func better(p, q probed) bool {
+func preferred(p, q probeResult) bool {
 	if p.upstream.Leaving != q.upstream.Leaving {
 		return q.upstream.Leaving
 	}
@@ -370,29 +370,29 @@
 
 // sendOrder sends a promotion order to the platform. Its answer is not proof of
 // the promotion: checkOrder asks the upstream itself.
-func (w *groupWatch) give(ctx context.Context, id string, token uint64) {
-	w.givenAt = now()
+func (w *groupWatch) sendOrder(ctx context.Context, id string, token uint64) {
+	w.orderSentAt = now()
 	ctx, cancel := context.WithTimeout(ctx, promoteTimeout)
 	defer cancel()
-	err := w.s.o.Promoter.Promote(ctx, w.group, id, w.s.o.Name, token)
-	w.s.metrics.Counter("promotions_ordered_total").Inc(1)
-	w.s.log.Info("promotion order sent to the platform", "group", w.group, "upstream", id, "token", token, "error", err)
+	err := w.server.options.Promoter.Promote(ctx, w.group, id, w.server.options.Name, token)
+	w.server.metrics.Counter("promotions_ordered_total").Inc(1)
+	w.server.log.Info("promotion order sent to the platform", "group", w.group, "upstream", id, "token", token, "error", err)
 	var refused *PromotionRefused
 	if errors.As(err, &refused) {
 		// A newer token was accepted before this one, or the upstream is down.
 		// The order counts as timed out, so that another upstream is ordered.
-		w.orderedAt = now().Add(-orderLifetime)
+		w.orderedAt = now().Add(-orderTimeout)
 	}
 }
 
 // checkOrder follows up an open order: it records the ordered upstream once it is
 // the primary, orders another one after orderTimeout, and until then sends the
 // order again. That is safe, because an order takes effect once for its token.
-func (w *groupWatch) pursueOrder(ctx context.Context, g *pb.SiteGroupState) {
+func (w *groupWatch) checkOrder(ctx context.Context, g *pb.SiteGroupState) {
 	if w.orderedAt.IsZero() {
 		w.orderedAt = now()
 	}
-	state, _, _ := w.s.o.State.Current()
+	state, _, _ := w.server.options.State.Current()
 	ordered := site.Upstream(state, g.Ordered)
 	if ordered != nil {
 		status, err := w.probe(ctx, ordered)
@@ -401,12 +401,12 @@
 			return
 		}
 	}
-	if now().Sub(w.orderedAt) >= orderLifetime || ordered == nil {
+	if now().Sub(w.orderedAt) >= orderTimeout || ordered == nil {
 		primary, others, g := w.upstreams()
 		w.replace(ctx, primary, others, g, "previous order was not carried out")
 		return
 	}
-	if now().Sub(w.givenAt) >= promoteRetry {
-		w.give(ctx, g.Ordered, g.Order)
+	if now().Sub(w.orderSentAt) >= promoteRetryInterval {
+		w.sendOrder(ctx, g.Ordered, g.Order)
 	}
 }
--- a/sitecontrol/primary_test.go
+++ b/sitecontrol/primary_test.go
@@ -15,13 +15,13 @@
 		e    evidence
 		lost bool
 	}{
-		{"only control misses it", evidence{unanswered: time.Minute, proxies: 18, announced: time.Minute}, false},
-		{"control and half of the proxies miss it", evidence{unanswered: primaryLostAfter, missed: 1, proxies: 18}, true},
-		{"one probe failed", evidence{unanswered: primaryLostAfter / 2, missed: 1, proxies: 18}, false},
-		{"most proxies miss it for long", evidence{missed: missedAfter, proxies: 18}, true},
-		{"most proxies miss it for a moment", evidence{missed: missedAfter / 2, proxies: 18}, false},
-		{"no proxies, still announced", evidence{unanswered: time.Minute}, false},
-		{"no proxies, no announcements", evidence{unanswered: time.Minute, announced: time.Minute}, true},
+		{"only the control host cannot reach it", evidence{probesFailingFor: time.Minute, proxies: 18, sinceAnnouncement: time.Minute}, false},
+		{"the control host and half of the proxies cannot reach it", evidence{probesFailingFor: primaryLossTimeout, cutOffFor: 1, proxies: 18}, true},
+		{"one probe failed", evidence{probesFailingFor: primaryLossTimeout / 2, cutOffFor: 1, proxies: 18}, false},
+		{"most proxies cannot reach it for long", evidence{cutOffFor: proxiesCutOffTimeout, proxies: 18}, true},
+		{"most proxies cannot reach it for a moment", evidence{cutOffFor: proxiesCutOffTimeout / 2, proxies: 18}, false},
+		{"no proxies, still announced", evidence{probesFailingFor: time.Minute}, false},
+		{"no proxies, no announcements", evidence{probesFailingFor: time.Minute, sinceAnnouncement: time.Minute}, true},
 	} {
 		assert.Equal(t, c.e.lost(), c.lost, c.name)
 	}
--- a/sitecontrol/promotion_test.go
+++ b/sitecontrol/promotion_test.go
@@ -17,17 +17,17 @@
 		fake.received["p"], fake.received["r1"], fake.received["r2"] = 30, 20, 25
 	})
 	for _, id := range []string{"p", "r1", "r2"} {
-		announce(t, h, announcement1(id, id == "p", 100, 1))
+		announce(t, h, newAnnouncement(id, id == "p", 100, 1))
 	}
 	waitFor(t, "the primary known", func() bool { return primaryOf(h, "g") == "p" })
 }
 
 // reportUnreachable stores reports of three proxies that cannot reach an
 // upstream. They expire, so that callers repeat the call.
-func complain(h *testHost, id string) {
+func reportUnreachable(h *testHost, id string) {
 	for _, name := range []string{"a", "b", "c"} {
 		h.server.mu.Lock()
-		h.server.reports[name] = report{at: now(), message: &pb.ReportRequest{
+		h.server.reports[name] = report{receivedAt: now(), message: &pb.ReportRequest{
 			Reporter: name, Proxies: 1, Complaints: []*pb.Complaint{{Upstream: id, Proxies: 1}},
 		}}
 		h.server.mu.Unlock()
@@ -38,13 +38,13 @@
 // that has received less than another replica.
 func TestLostPrimaryIsReplacedByTheMostAdvanced(t *testing.T) {
 	fake := newFakeUpstreams()
-	hosts := cluster(t, 3, fake)
-	store(t, hosts[0], 1, "one")
+	hosts := startCluster(t, 3, fake)
+	storeConfig(t, hosts[0], 1, "one")
 	announceGroup(t, hosts[0], fake)
 	fake.set(func() { fake.dead["p"] = true })
 	waitFor(t, "another primary", func() bool {
 		for _, h := range hosts {
-			complain(h, "p")
+			reportUnreachable(h, "p")
 		}
 		return primaryOf(hosts[1], "g") == "r2"
 	})
@@ -54,17 +54,17 @@
 // another upstream after its answer was lost.
 func TestOrderWithoutAnAnswerKeepsItsToken(t *testing.T) {
 	fake := newFakeUpstreams()
-	fake.lose = true
-	hosts := cluster(t, 3, fake)
-	store(t, hosts[0], 1, "one")
+	fake.loseAnswers = true
+	hosts := startCluster(t, 3, fake)
+	storeConfig(t, hosts[0], 1, "one")
 	announceGroup(t, hosts[0], fake)
-	leaving := announcement1("p", true, 100, 2)
+	leaving := newAnnouncement("p", true, 100, 2)
 	leaving.Leaving = true
 	announce(t, hosts[1], leaving)
 	waitFor(t, "another primary", func() bool { return primaryOf(hosts[1], "g") == "r2" })
-	for _, o := range fake.given() {
+	for _, o := range fake.receivedOrders() {
 		assert.Equal(t, o.id, "r2")
-		assert.Equal(t, o.token, fake.given()[0].token)
+		assert.Equal(t, o.token, fake.receivedOrders()[0].token)
 	}
 }
 
@@ -72,16 +72,16 @@
 // would then carry out the one that arrives last.
 func TestTokensOfOrdersRise(t *testing.T) {
 	fake := newFakeUpstreams()
-	hosts := cluster(t, 3, fake)
-	store(t, hosts[0], 1, "one")
+	hosts := startCluster(t, 3, fake)
+	storeConfig(t, hosts[0], 1, "one")
 	announceGroup(t, hosts[0], fake)
 	for i, step := range []struct{ from, to string }{{"p", "r2"}, {"r2", "r1"}} {
-		leaving := announcement1(step.from, true, 100, uint64(10+i))
+		leaving := newAnnouncement(step.from, true, 100, uint64(10+i))
 		leaving.Leaving = true
 		announce(t, hosts[0], leaving)
 		waitFor(t, "primary "+step.to, func() bool { return primaryOf(hosts[0], "g") == step.to })
 	}
-	orders := fake.given()
+	orders := fake.receivedOrders()
 	assert.Assert(t, len(orders) >= 2)
 	first, last := orders[0], orders[len(orders)-1]
 	assert.Assert(t, first.id != last.id && first.token < last.token, "%v", orders)
@@ -92,10 +92,10 @@
 // received.
 func TestPlannedChangeLosesNoCommit(t *testing.T) {
 	fake := newFakeUpstreams()
-	hosts := cluster(t, 3, fake)
-	store(t, hosts[0], 1, "one")
+	hosts := startCluster(t, 3, fake)
+	storeConfig(t, hosts[0], 1, "one")
 	announceGroup(t, hosts[0], fake)
-	leaving := announcement1("p", true, 100, 2)
+	leaving := newAnnouncement("p", true, 100, 2)
 	leaving.Leaving = true
 	announce(t, hosts[0], leaving)
 	waitFor(t, "the primary steps down", func() bool {
@@ -105,5 +105,5 @@
 	})
 	fake.set(func() { fake.received["r2"] = 30 })
 	waitFor(t, "another primary", func() bool { return primaryOf(hosts[0], "g") == "r2" })
-	assert.Assert(t, !fake.lost)
+	assert.Assert(t, !fake.commitsLost)
 }
--- a/sitecontrol/report.go
+++ b/sitecontrol/report.go
@@ -19,12 +19,12 @@
 	ReportInterval = 2 * time.Second
 	// reportLifetime is how long a report counts.
 	reportLifetime = 3 * ReportInterval
-	// complaintLifetime is how long the unreachable upstreams of a report
+	// unreachableLifetime is how long the unreachable upstreams of a report
 	// count. The report is repeated twice in that time.
-	complaintLifetime = 700 * time.Millisecond
-	// ComplaintInterval is how often a report with unreachable upstreams is
+	unreachableLifetime = 700 * time.Millisecond
+	// UnreachableReportInterval is how often a report with unreachable upstreams is
 	// repeated.
-	ComplaintInterval = 300 * time.Millisecond
+	UnreachableReportInterval = 300 * time.Millisecond
 	// relayInterval is how often a control host checks whether the sum of its
 	// reports is due to be relayed to the leader.
 	relayInterval = 100 * time.Millisecond
@@ -36,7 +36,7 @@
 func (s *Server) Report(_ context.Context, r *connect.Request[pb.ReportRequest]) (*connect.Response[pb.ReportResponse], error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reports[r.Msg.Reporter] = report{message: r.Msg, at: now()}
+	s.reports[r.Msg.Reporter] = report{message: r.Msg, receivedAt: now()}
 	return connect.NewResponse(&pb.ReportResponse{}), nil
 }
 
@@ -45,10 +45,10 @@
 func (s *Server) gatherReports(relayed bool) *pb.ReportRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sum := &pb.ReportRequest{Reporter: s.o.Name, Relayed: true}
+	sum := &pb.ReportRequest{Reporter: s.options.Name, Relayed: true}
 	complaints, untried := make(map[string]uint32), make(map[string]uint32)
 	for name, r := range s.reports {
-		age := now().Sub(r.at)
+		age := now().Sub(r.receivedAt)
 		if age > reportLifetime {
 			delete(s.reports, name)
 			continue
@@ -58,7 +58,7 @@
 		}
 		sum.Proxies += r.message.Proxies
 		for _, c := range r.message.Complaints {
-			if age <= complaintLifetime {
+			if age <= unreachableLifetime {
 				complaints[c.Upstream] += c.Proxies
 			}
 		}
@@ -66,13 +66,13 @@
 			untried[c.Upstream] += c.Proxies
 		}
 	}
-	sum.Complaints, sum.Untried = listed(complaints), listed(untried)
+	sum.Complaints, sum.Untried = sortedComplaints(complaints), sortedComplaints(untried)
 	return sum
 }
 
 // sortedComplaints returns the number of proxies for each upstream, sorted by
 // upstream, so that equal sums give equal messages.
-func listed(counts map[string]uint32) []*pb.Complaint {
+func sortedComplaints(counts map[string]uint32) []*pb.Complaint {
 	var list []*pb.Complaint
 	for id, n := range counts {
 		list = append(list, &pb.Complaint{Upstream: id, Proxies: n})
@@ -94,8 +94,8 @@
 // many may be served by it. The latter include proxies that are recorded but do
 // not report any more, because they may be cut off together with the upstream.
 // They leave out proxies that have had no request for the upstream.
-func (s *Server) complaints(id string) (unreachable, proxies uint32) {
-	state, _, _ := s.o.State.Current()
+func (s *Server) countUnreachable(id string) (unreachable, proxies uint32) {
+	state, _, _ := s.options.State.Current()
 	sum := s.gatherReports(true)
 	proxies = max(sum.Proxies, state.Proxies)
 	return countFor(sum.Complaints, id), proxies - min(countFor(sum.Untried, id), proxies)
@@ -107,8 +107,8 @@
 	var last *pb.ReportRequest
 	var sentAt time.Time
 	for pause.For(ctx, relayInterval) {
-		_, address, ok := s.o.Consensus.Leader()
-		if !ok || address == s.o.Address {
+		_, address, ok := s.options.Consensus.Leader()
+		if !ok || address == s.options.Address {
 			last = nil
 			continue
 		}
@@ -117,7 +117,7 @@
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
-		_, err := s.clients.At(address).Report(callCtx, connect.NewRequest(sum))
+		_, err := s.clients.ForAddress(address).Report(callCtx, connect.NewRequest(sum))
 		cancel()
 		if err != nil {
 			s.metrics.Counter("report_relays_failed_total").Inc(1)
@@ -130,7 +130,7 @@
 
 func (s *Server) relayPause(sum *pb.ReportRequest) time.Duration {
 	if len(sum.Complaints) > 0 {
-		return ComplaintInterval
+		return UnreachableReportInterval
 	}
 	return ReportInterval
 }
--- a/sitecontrol/report_test.go
+++ b/sitecontrol/report_test.go
@@ -13,7 +13,7 @@
 // Guards against the replacement of a primary that is cut off from the control
 // hosts together with most proxies. The few proxies that still report cannot
 // reach it, while it serves the others.
-func TestSilentProxiesCountAgainstComplaints(t *testing.T) {
+func TestSilentProxiesCountAsServed(t *testing.T) {
 	state := site.NewState()
 	command, err := proto.Marshal(&pb.SiteCommand{Command: &pb.SiteCommand_RecordProxies{
 		RecordProxies: &pb.RecordProxies{Proxies: 18},
@@ -22,11 +22,11 @@
 	state.Apply(1, command)
 	s := New(Options{Name: "c1", State: state})
 	for _, name := range []string{"a", "b", "c"} {
-		s.reports[name] = report{at: now(), message: &pb.ReportRequest{
+		s.reports[name] = report{receivedAt: now(), message: &pb.ReportRequest{
 			Reporter: name, Proxies: 1, Complaints: []*pb.Complaint{{Upstream: "p", Proxies: 1}},
 		}}
 	}
-	unreachable, proxies := s.complaints("p")
+	unreachable, proxies := s.countUnreachable("p")
 	assert.Equal(t, unreachable, uint32(3))
 	assert.Equal(t, proxies, uint32(18))
 }
@@ -35,15 +35,15 @@
 // requests for it, and so cannot notice its loss.
 func TestIdleProxiesDoNotCountForAPrimary(t *testing.T) {
 	s := New(Options{Name: "c1", State: site.NewState()})
-	s.reports["a"] = report{at: now(), message: &pb.ReportRequest{
+	s.reports["a"] = report{receivedAt: now(), message: &pb.ReportRequest{
 		Reporter: "a", Proxies: 1, Complaints: []*pb.Complaint{{Upstream: "p", Proxies: 1}},
 	}}
 	for _, name := range []string{"b", "c"} {
-		s.reports[name] = report{at: now(), message: &pb.ReportRequest{
+		s.reports[name] = report{receivedAt: now(), message: &pb.ReportRequest{
 			Reporter: name, Proxies: 1, Untried: []*pb.Complaint{{Upstream: "p", Proxies: 1}},
 		}}
 	}
-	unreachable, proxies := s.complaints("p")
+	unreachable, proxies := s.countUnreachable("p")
 	assert.Equal(t, unreachable, uint32(1))
 	assert.Equal(t, proxies, uint32(1))
 }
--- a/sitecontrol/server.go
+++ b/sitecontrol/server.go
@@ -101,39 +101,39 @@
 
 // Server is a control host. It is safe for concurrent use.
 type Server struct {
-	o       Options
+	options Options
 	log     *slog.Logger
 	metrics tally.Scope
 	clients *Clients
 
-	// admitting is held while a host is added to the members.
-	admitting sync.Mutex
+	// admitMu is held while a host is added to the members.
+	admitMu sync.Mutex
 	// mu guards the fields below.
 	mu sync.Mutex
 	// reports holds the newest report of each reporter.
 	reports map[string]report
-	// seen holds, by upstream id, the last announcement that this host
+	// announcements holds, by upstream id, the last announcement that this host
 	// received as the leader, and when. The start of a term resets the times.
-	seen map[string]announcement
-	// standby is set while this host stands by, and nil otherwise.
-	standby *standby
-	// learned are the control hosts that a peer named when it could not decide
-	// whether this host may join.
-	learned []string
-	// leaderAt is when this host last knew a leader, or when it started.
-	leaderAt time.Time
-	// sampled holds the newest known position of the primary of each group.
-	sampled map[string]*sampledGroup
+	announcements map[string]announcement
+	// standbyInfo is set while this host stands by, and nil otherwise.
+	standby *standbyInfo
+	// discoveredPeers are the control hosts that a peer named when it could
+	// not decide whether this host may join.
+	discoveredPeers []string
+	// lastLeaderAt is when this host last knew a leader, or when it started.
+	lastLeaderAt time.Time
+	// samples holds the newest known position of the primary of each group.
+	samples map[string]*positionSample
 }
 
 type report struct {
-	message *pb.ReportRequest
-	at      time.Time
+	message    *pb.ReportRequest
+	receivedAt time.Time
 }
 
 type announcement struct {
-	upstream *pb.SiteUpstream
-	at       time.Time
+	upstream   *pb.SiteUpstream
+	receivedAt time.Time
 }
 
 var _ lovageslipv1connect.SiteServiceHandler = (*Server)(nil)
@@ -142,14 +142,14 @@
 // a leader's duties.
 func New(o Options) *Server {
 	return &Server{
-		o:        o,
-		log:      logging.For(o.Log, "control"),
-		metrics:  metrics.OrNoop(o.Metrics).SubScope("control"),
-		clients:  NewClients(o.HTTPClient),
-		reports:  make(map[string]report),
-		seen:     make(map[string]announcement),
-		sampled:  make(map[string]*sampledGroup),
-		leaderAt: now(),
+		options:       o,
+		log:           logging.For(o.Log, "control"),
+		metrics:       metrics.OrNoop(o.Metrics).SubScope("control"),
+		clients:       NewClients(o.HTTPClient),
+		reports:       make(map[string]report),
+		announcements: make(map[string]announcement),
+		samples:       make(map[string]*positionSample),
+		lastLeaderAt:  now(),
 	}
 }
 
@@ -168,7 +168,7 @@
 	if err != nil {
 		return nil, &fault.IO{Op: "encode command", Err: err}
 	}
-	result, err := s.o.Consensus.Propose(ctx, command)
+	result, err := s.options.Consensus.Propose(ctx, command)
 	if err != nil {
 		return nil, err
 	}
@@ -184,12 +184,12 @@
 // stored one is acknowledged and changes nothing. After *fault.OutcomeUnknown
 // the configuration may still come into force.
 func (s *Server) StoreConfig(ctx context.Context, config *pb.SiteConfig, document []byte) error {
-	state, _, _ := s.o.State.Current()
+	state, _, _ := s.options.State.Current()
 	if state.Config != nil && config.Version <= state.Config.Version {
 		s.log.Info("configuration is not newer than the stored one", "version", config.Version, "stored", state.Config.Version)
 		return nil
 	}
-	packed, err := pack(document)
+	packed, err := compressDocument(document)
 	if err != nil {
 		return err
 	}
@@ -207,18 +207,18 @@
 // it, after a quorum read; nil if there is none. Its errors are those of
 // consensus.Log.ReadIndex, and *fault.IO.
 func (s *Server) Document(ctx context.Context) ([]byte, error) {
-	if _, err := s.o.Consensus.ReadIndex(ctx); err != nil {
+	if _, err := s.options.Consensus.ReadIndex(ctx); err != nil {
 		s.log.Warn("configuration not read", "error", err)
 		return nil, err
 	}
-	state, _, _ := s.o.State.Current()
-	return unpack(state.Document)
+	state, _, _ := s.options.State.Current()
+	return decompressDocument(state.Document)
 }
 
 // LeaderHost returns the IP of the leading control host. It returns false if
 // this host knows no leader.
 func (s *Server) LeaderHost() (string, bool) {
-	_, address, ok := s.o.Consensus.Leader()
+	_, address, ok := s.options.Consensus.Leader()
 	if !ok {
 		return "", false
 	}
--- a/sitecontrol/server_test.go
+++ b/sitecontrol/server_test.go
@@ -15,36 +15,36 @@
 // Guards against an acknowledged configuration that is replaced by an older one
 // which arrives late or is sent again.
 func TestHighestVersionStaysInForce(t *testing.T) {
-	hosts := cluster(t, 3, newFakeUpstreams())
-	store(t, hosts[0], 7, "seven")
-	store(t, hosts[1], 5, "five")
-	store(t, hosts[2], 7, "other seven")
+	hosts := startCluster(t, 3, newFakeUpstreams())
+	storeConfig(t, hosts[0], 7, "seven")
+	storeConfig(t, hosts[1], 5, "five")
+	storeConfig(t, hosts[2], 7, "other seven")
 	for _, h := range hosts {
-		waitFor(t, "the newest document", func() bool { return document(h) == "seven" })
+		waitFor(t, "the newest document", func() bool { return readDocument(h) == "seven" })
 	}
-	store(t, hosts[2], 9, "nine")
+	storeConfig(t, hosts[2], 9, "nine")
 	for _, h := range hosts {
-		waitFor(t, "the newest document", func() bool { return document(h) == "nine" })
+		waitFor(t, "the newest document", func() bool { return readDocument(h) == "nine" })
 	}
 }
 
 // Guards against a host without a quorum that returns the last document that it
 // has applied.
 func TestDocumentNeedsAQuorum(t *testing.T) {
-	hosts := cluster(t, 3, newFakeUpstreams())
-	store(t, hosts[0], 7, "seven")
+	hosts := startCluster(t, 3, newFakeUpstreams())
+	storeConfig(t, hosts[0], 7, "seven")
 	for _, h := range hosts[1:] {
 		h.stop()
 		h.stop = func() {}
 	}
-	waitFor(t, "no answer without a quorum", func() bool { return document(hosts[0]) == "" })
+	waitFor(t, "no answer without a quorum", func() bool { return readDocument(hosts[0]) == "" })
 }
 
 // Guards against a host that returns with an empty disk and is not added again,
 // so that the loss of one more host takes the quorum.
 func TestHostThatLostItsDiskJoinsAgain(t *testing.T) {
-	hosts := cluster(t, 3, newFakeUpstreams())
-	store(t, hosts[0], 7, "seven")
+	hosts := startCluster(t, 3, newFakeUpstreams())
+	storeConfig(t, hosts[0], 7, "seven")
 	wiped := hosts[2]
 	wiped.stop()
 	assert.NilError(t, os.RemoveAll(wiped.dir))
@@ -53,18 +53,18 @@
 	// Until it is removed and added again, it is listed as a voter with the
 	// incarnation of the lost folder, and its votes don't count.
 	waitFor(t, "three voters, the wiped one with its new folder", func() bool {
-		return votersOf(hosts[0]) == 3 && isVoter(hosts[0], wiped) && document(wiped) == "seven"
+		return votersOf(hosts[0]) == 3 && isVoter(hosts[0], wiped) && readDocument(wiped) == "seven"
 	})
 	hosts[1].stop()
 	hosts[1].stop = func() {}
-	waitFor(t, "a quorum with the wiped host", func() bool { return document(wiped) == "seven" })
+	waitFor(t, "a quorum with the wiped host", func() bool { return readDocument(wiped) == "seven" })
 }
 
 // Guards against replaced hosts that stay members. With ended hosts among the
 // voters, the next loss takes the quorum.
 func TestReplacedHostIsRemoved(t *testing.T) {
-	hosts := cluster(t, 3, newFakeUpstreams())
-	store(t, hosts[0], 7, "seven")
+	hosts := startCluster(t, 3, newFakeUpstreams())
+	storeConfig(t, hosts[0], 7, "seven")
 	// The host that ends is the leader, because its successor has never heard
 	// from it and must count it as silent, too.
 	for i, h := range hosts {
@@ -84,20 +84,20 @@
 				return false
 			}
 		}
-		return votersOf(hosts[0]) == 3 && document(successor) == "seven"
+		return votersOf(hosts[0]) == 3 && readDocument(successor) == "seven"
 	})
 }
 
 // Guards against a configuration of a large site that is refused because it does
 // not fit into a log entry. A site serves nothing without a configuration.
 func TestLargeConfigurationIsStored(t *testing.T) {
-	hosts := cluster(t, 3, newFakeUpstreams())
+	hosts := startCluster(t, 3, newFakeUpstreams())
 	var large strings.Builder
 	for i := 0; large.Len() < 2<<20; i++ {
 		fmt.Fprintf(&large, `{"name":"r-%d","host":"db%x","freshness":"bounded","timeout":1000},`, i, i*7919)
 	}
-	store(t, hosts[0], 7, large.String())
-	assert.Equal(t, document(hosts[1]), large.String())
+	storeConfig(t, hosts[0], 7, large.String())
+	assert.Equal(t, readDocument(hosts[1]), large.String())
 }
 
 // isVoter reports whether h counts the other host as a voter with the incarnation
@@ -121,7 +121,7 @@
 	return count
 }
 
-func announcement1(id string, primary bool, born int64, sequence uint64) *pb.SiteUpstream {
+func newAnnouncement(id string, primary bool, born int64, sequence uint64) *pb.SiteUpstream {
 	return &pb.SiteUpstream{Id: id, Group: "g", Address: "10.0.0.1:" + id, Slots: 3, Primary: primary, BornMs: born, Sequence: sequence}
 }
 
@@ -132,11 +132,11 @@
 	s := New(Options{Name: "c1", State: state})
 	record := func(u *pb.SiteUpstream) bool {
 		current, _, _ := state.Current()
-		return s.noteAnnouncement(u, site.Upstream(current, u.Id))
+		return s.acceptAnnouncement(u, site.Upstream(current, u.Id))
 	}
-	assert.Assert(t, record(announcement1("a", true, 100, 5)))
-	assert.Assert(t, !record(announcement1("a", true, 100, 4)), "lower sequence")
-	assert.Assert(t, !record(announcement1("a", true, 100, 5)), "same sequence")
-	assert.Assert(t, !record(announcement1("a", true, 90, 50)), "earlier process")
-	assert.Assert(t, record(announcement1("a", false, 200, 1)), "later process under the same id")
+	assert.Assert(t, record(newAnnouncement("a", true, 100, 5)))
+	assert.Assert(t, !record(newAnnouncement("a", true, 100, 4)), "lower sequence")
+	assert.Assert(t, !record(newAnnouncement("a", true, 100, 5)), "same sequence")
+	assert.Assert(t, !record(newAnnouncement("a", true, 90, 50)), "earlier process")
+	assert.Assert(t, record(newAnnouncement("a", false, 200, 1)), "later process under the same id")
 }
--- a/sitecontrol/standby.go
+++ b/sitecontrol/standby.go
@@ -27,7 +27,7 @@
 
 // standbyInfo is what a host that stands by, because it is not needed as a
 // member, knows of the members.
-type standby struct {
+type standbyInfo struct {
 	members []string // internal addresses
 	leader  string   // internal address; empty if unknown
 }
@@ -37,15 +37,15 @@
 // members that it knows. A host that is not needed stands by, because each
 // further member costs the leader one more message for each entry and heartbeat.
 func (s *Server) Join(ctx context.Context, r *connect.Request[pb.JoinRequest]) (*connect.Response[pb.JoinResponse], error) {
-	if _, leads := s.o.Consensus.Leadership(); leads {
+	if _, leads := s.options.Consensus.Leadership(); leads {
 		return s.admit(ctx, r.Msg.Address)
 	}
 	members, leader := s.knownMembers()
-	if leader == "" || leader == s.o.Address || r.Msg.PassedOn {
+	if leader == "" || leader == s.options.Address || r.Msg.PassedOn {
 		return connect.NewResponse(&pb.JoinResponse{Members: members, Leader: leader}), nil
 	}
 	request := &pb.JoinRequest{Address: r.Msg.Address, PassedOn: true}
-	response, err := s.clients.At(leader).Join(ctx, connect.NewRequest(request))
+	response, err := s.clients.ForAddress(leader).Join(ctx, connect.NewRequest(request))
 	if err != nil {
 		return nil, unavailable(err)
 	}
@@ -55,11 +55,11 @@
 func (s *Server) admit(ctx context.Context, address string) (*connect.Response[pb.JoinResponse], error) {
 	// Hosts are added one at a time, so that each decision counts the hosts
 	// that were added before it.
-	s.admitting.Lock()
-	defer s.admitting.Unlock()
-	response := &pb.JoinResponse{Outcome: pb.JoinOutcome_JOIN_OUTCOME_NOT_NEEDED, Leader: s.o.Address}
-	if s.needs(address, s.o.Consensus.Status().Members) {
-		if err := s.o.Consensus.AddMember(ctx, address, address); err != nil {
+	s.admitMu.Lock()
+	defer s.admitMu.Unlock()
+	response := &pb.JoinResponse{Outcome: pb.JoinOutcome_JOIN_OUTCOME_NOT_NEEDED, Leader: s.options.Address}
+	if s.mayBecomeMember(address, s.options.Consensus.Status().Members) {
+		if err := s.options.Consensus.AddMember(ctx, address, address); err != nil {
 			return nil, unavailable(err)
 		}
 		response.Outcome = pb.JoinOutcome_JOIN_OUTCOME_ADDED
@@ -70,13 +70,13 @@
 
 // mayBecomeMember reports whether the host at an address is to be added: it is a
 // member already and has lost its disk, or too few members are running.
-func (s *Server) needs(address string, members []consensus.MemberStatus) bool {
+func (s *Server) mayBecomeMember(address string, members []consensus.MemberStatus) bool {
 	running := 0
 	for _, m := range members {
 		if m.Address == address {
 			return true
 		}
-		if !m.WrongIncarnation && m.Silent <= removeAfter {
+		if !m.WrongIncarnation && m.Silent <= silentVoterTimeout {
 			running++
 		}
 	}
@@ -85,19 +85,19 @@
 
 // neededVoters returns the smallest number of voters of which a majority is left
 // after the tolerated losses, but at most maxMembers.
-func (s *Server) neededVoters() int { return min(2*s.o.MaxLost+1, maxMembers) }
+func (s *Server) neededVoters() int { return min(2*s.options.MaxLost+1, maxMembers) }
 
 // knownMembers returns the internal addresses of the members and of their leader
 // as far as this host knows them. The leader is empty if it is unknown.
 func (s *Server) knownMembers() (members []string, leader string) {
-	if _, address, ok := s.o.Consensus.Leader(); ok {
+	if _, address, ok := s.options.Consensus.Leader(); ok {
 		return s.memberAddresses(), address
 	}
 	s.mu.Lock()
-	known := s.standby
+	info := s.standby
 	s.mu.Unlock()
-	if known != nil {
-		return known.members, known.leader
+	if info != nil {
+		return info.members, info.leader
 	}
 	return s.memberAddresses(), ""
 }
@@ -117,10 +117,10 @@
 
 // setStandby stores what this host knows of the members while it stands by; nil
 // if it is a member itself.
-func (s *Server) setStandby(known *standby) {
+func (s *Server) setStandby(info *standbyInfo) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.standby = known
+	s.standby = info
 }
 
 // standbyMembers returns the members if this host stands by, and nil otherwise.
--- a/sitecontrol/standby_test.go
+++ b/sitecontrol/standby_test.go
@@ -18,53 +18,53 @@
 // members, an idle site sent four times as many bytes between regions, and hosts
 // that waited to be added asked four times a second.
 func TestHostsThatAreNotNeededStandBy(t *testing.T) {
-	hosts := cluster(t, 3, newFakeUpstreams())
+	hosts := startCluster(t, 3, newFakeUpstreams())
 	limit := hosts[0].server.neededVoters() + extraMembers
 	for len(hosts) < limit+3 {
-		hosts = append(hosts, join(t, hosts[0].seeds))
+		hosts = append(hosts, startHost(t, hosts[0].seeds))
 	}
-	store(t, hosts[0], 7, "seven")
-	var standing []*testHost
+	storeConfig(t, hosts[0], 7, "seven")
+	var standbys []*testHost
 	waitFor(t, "the hosts beyond the limit to stand by", func() bool {
-		standing = standbys(hosts)
-		return len(standing) == 3 && votersOf(hosts[0]) == limit
+		standbys = standbyHosts(hosts)
+		return len(standbys) == 3 && votersOf(hosts[0]) == limit
 	})
 
-	leader, ok := standing[0].server.StandbyFor()
+	leader, ok := standbys[0].server.StandbyFor()
 	assert.Assert(t, ok)
-	known, _, _ := net.SplitHostPort(hosts[0].address)
-	assert.Equal(t, leader, known, "all hosts of the test have one IP")
-	members := watchedMembers(t, standing[0])
+	hostIP, _, _ := net.SplitHostPort(hosts[0].address)
+	assert.Equal(t, leader, hostIP, "all hosts of the test have one IP")
+	members := watchedMembers(t, standbys[0])
 	assert.Equal(t, len(members), limit)
 
 	// The seeds of this host are only hosts that stand by.
-	late := join(t, []string{standing[0].address, standing[1].address})
-	waitFor(t, "a host that only knows hosts that stand by", func() bool { return late.server.standbyMembers() != nil })
+	lateHost := startHost(t, []string{standbys[0].address, standbys[1].address})
+	waitFor(t, "a host whose seeds all stand by to stand by, too", func() bool { return lateHost.server.standbyMembers() != nil })
 
 	for _, h := range hosts[1:] {
-		if !slices.Contains(standing, h) {
+		if !slices.Contains(standbys, h) {
 			h.stop()
 			h.stop = func() {}
 			break
 		}
 	}
-	waitFor(t, "a host that stood by in the place of one that ended", func() bool {
-		return slices.ContainsFunc(standing, func(h *testHost) bool { return document(h) == "seven" })
+	waitFor(t, "a standby host to replace a member that ended", func() bool {
+		return slices.ContainsFunc(standbys, func(h *testHost) bool { return readDocument(h) == "seven" })
 	})
 }
 
 // Guards against more members than a leader can serve, if MaxLost asks for them.
 func TestMembersAreBounded(t *testing.T) {
-	s := &Server{o: Options{MaxLost: 99}}
+	s := &Server{options: Options{MaxLost: 99}}
 	members := make([]consensus.MemberStatus, maxMembers-1)
-	assert.Assert(t, s.needs("new", members))
-	assert.Assert(t, !s.needs("new", append(members, consensus.MemberStatus{})))
-	members[0].Silent = 2 * removeAfter
-	assert.Assert(t, s.needs("new", append(members, consensus.MemberStatus{})), "one of them has ended")
+	assert.Assert(t, s.mayBecomeMember("new", members))
+	assert.Assert(t, !s.mayBecomeMember("new", append(members, consensus.MemberStatus{})))
+	members[0].Silent = 2 * silentVoterTimeout
+	assert.Assert(t, s.mayBecomeMember("new", append(members, consensus.MemberStatus{})), "one of them has ended")
 }
 
-// standbys returns the hosts that stand by.
-func standbys(hosts []*testHost) []*testHost {
+// standbyHosts returns the hosts that stand by.
+func standbyHosts(hosts []*testHost) []*testHost {
 	var standing []*testHost
 	for _, h := range hosts {
 		if h.server.standbyMembers() != nil {
@@ -75,7 +75,7 @@
 }
 
 // startHost starts one more host, which asks to be added.
-func join(t *testing.T, seeds []string) *testHost {
+func startHost(t *testing.T, seeds []string) *testHost {
 	t.Helper()
 	l := listenAnywhere(t)
 	h := &testHost{t: t, address: l.Addr().String(), dir: t.TempDir(), seeds: seeds, fake: newFakeUpstreams()}
@@ -88,7 +88,7 @@
 // from a host.
 func watchedMembers(t *testing.T, h *testHost) []string {
 	t.Helper()
-	client := NewClients(tlsconf.HTTPClient(nil)).At(h.address)
+	client := NewClients(tlsconf.HTTPClient(nil)).ForAddress(h.address)
 	stream, err := client.Watch(context.Background(), connect.NewRequest(&pb.WatchSiteRequest{Proxy: "p"}))
 	assert.NilError(t, err)
 	defer stream.Close()
--- a/sitecontrol/watch.go
+++ b/sitecontrol/watch.go
@@ -52,7 +52,7 @@
 		return unavailable(err)
 	}
 	for {
-		state, index, changed := s.o.State.Current()
+		state, index, changed := s.options.State.Current()
 		if err := stream.Send(w.update(state, index, s.memberAddresses())); err != nil {
 			return err
 		}
@@ -67,12 +67,12 @@
 // state, for example because it has lost its disk, so that the proxy asks
 // another one.
 func (s *Server) readCommitted(ctx context.Context) error {
-	if len(s.o.Consensus.Members()) == 0 || s.leaderlessFor() > leaderlessLimit {
+	if len(s.options.Consensus.Members()) == 0 || s.timeWithoutLeader() > leaderlessLimit {
 		return noLeader()
 	}
 	ctx, cancel := context.WithTimeout(ctx, firstUpdateTimeout)
 	defer cancel()
-	_, err := s.o.Consensus.ReadIndex(ctx)
+	_, err := s.options.Consensus.ReadIndex(ctx)
 	return err
 }
 
@@ -83,7 +83,7 @@
 		if !pause.For(ctx, watchInterval) {
 			return ctx.Err()
 		}
-		if _, _, ok := s.o.Consensus.Leader(); !ok {
+		if _, _, ok := s.options.Consensus.Leader(); !ok {
 			return noLeader()
 		}
 		select {
@@ -120,7 +120,7 @@
 
 func (s *Server) memberAddresses() []string {
 	var addresses []string
-	for _, m := range s.o.Consensus.Members() {
+	for _, m := range s.options.Consensus.Members() {
 		addresses = append(addresses, m.Address)
 	}
 	slices.Sort(addresses)
--- a/sitewatch/sitewatch.go
+++ b/sitewatch/sitewatch.go
@@ -33,15 +33,15 @@
 )
 
 const (
-	// silenceLimit is how long a control host may send no update before the
+	// silenceTimeout is how long a control host may send no update before the
 	// watch turns to another one: two intervals of keep-alives and some delay.
-	silenceLimit = 2*sitecontrol.KeepAliveInterval + 200*time.Millisecond
+	silenceTimeout = 2*sitecontrol.KeepAliveInterval + 200*time.Millisecond
 	// probeTimeout bounds the wait until one of several control hosts accepts
 	// a connection.
-	probeTimeout  = 700 * time.Millisecond
-	retryPause    = 200 * time.Millisecond
-	reportTick    = 50 * time.Millisecond
-	reportTimeout = 500 * time.Millisecond
+	probeTimeout        = 700 * time.Millisecond
+	retryDelay          = 200 * time.Millisecond
+	reportCheckInterval = 50 * time.Millisecond
+	reportTimeout       = 500 * time.Millisecond
 )
 
 // Options configure a Watch; New takes them.
@@ -69,24 +69,25 @@
 // Watch is a proxy's connection to the control hosts. It is safe for concurrent
 // use.
 type Watch struct {
-	o       Options
+	options Options
 	log     *slog.Logger
 	metrics tally.Scope
 	clients *sitecontrol.Clients
 
 	// mu guards the fields below.
-	mu      sync.Mutex
-	parts   site.ViewParts
-	current string // address of the last control host that sent an update
-	heardAt time.Time
-	// learned are the members that a control host which stands by has named.
-	learned []string
+	mu             sync.Mutex
+	parts          site.ViewParts
+	watchedAddress string // address of the last control host that sent an update
+	lastUpdateAt   time.Time
+	// discoveredHosts are the members that a control host which stands by has
+	// named.
+	discoveredHosts []string
 }
 
 // New returns a watch, which is started by Run.
 func New(o Options) *Watch {
 	return &Watch{
-		o:       o,
+		options: o,
 		clients: sitecontrol.NewClients(o.HTTPClient),
 		log:     logging.For(o.Log, "watch"),
 		metrics: metrics.OrNoop(o.Metrics).SubScope("watch"),
@@ -102,14 +103,14 @@
 	for ctx.Err() == nil {
 		address, ok := w.nearest(ctx, failedAt)
 		if !ok {
-			pause.For(ctx, retryPause)
+			pause.For(ctx, retryDelay)
 			continue
 		}
 		err := w.watch(ctx, address, p)
 		w.log.Warn("watch of a control host ended", "address", address, "index", w.index(), "error", err)
 		w.metrics.Counter("control_hosts_lost_total").Inc(1)
 		failedAt[address] = bootclock.Now()
-		pause.For(ctx, retryPause/4)
+		pause.For(ctx, retryDelay/4)
 	}
 }
 
@@ -120,10 +121,10 @@
 }
 
 // SinceLastUpdate returns the time since a control host last sent an update.
-func (w *Watch) SinceHeard() time.Duration {
+func (w *Watch) SinceLastUpdate() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return bootclock.Since(w.heardAt)
+	return bootclock.Since(w.lastUpdateAt)
 }
 
 // maxSeeds bounds the seeds among the candidates, because on a large site most of
@@ -133,10 +134,10 @@
 // candidates returns the addresses of the known control hosts and of some random
 // seeds.
 func (w *Watch) candidates() []string {
-	seeds := slices.Clone(w.o.Seeds())
+	seeds := slices.Clone(w.options.Seeds())
 	rand.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
 	w.mu.Lock()
-	addresses := slices.Concat(w.parts.ControlHosts, w.learned, seeds[:min(len(seeds), maxSeeds)])
+	addresses := slices.Concat(w.parts.ControlHosts, w.discoveredHosts, seeds[:min(len(seeds), maxSeeds)])
 	w.mu.Unlock()
 	slices.Sort(addresses)
 	return slices.Compact(addresses)
@@ -146,12 +147,12 @@
 // whose watch has not failed lately. If none of them does, it tries those that
 // have failed, one after the other, the one that failed longest ago first.
 func (w *Watch) nearest(ctx context.Context, failedAt map[string]time.Time) (string, bool) {
-	candidates, failed := byFailure(w.candidates(), failedAt, bootclock.Now())
-	if address, ok := first(ctx, candidates); ok {
+	candidates, failed := splitByFailure(w.candidates(), failedAt, bootclock.Now())
+	if address, ok := firstReachable(ctx, candidates); ok {
 		return address, true
 	}
 	for _, address := range failed {
-		if found, ok := first(ctx, []string{address}); ok {
+		if found, ok := firstReachable(ctx, []string{address}); ok {
 			return found, true
 		}
 	}
@@ -161,13 +162,13 @@
 // failedHostBackoff is how long a control host whose watch has failed is tried
 // only after all others. It is longer than it takes to try them, so that a proxy
 // doesn't alternate between two hosts that are cut off from the others together.
-const forgetFailureAfter = 10 * time.Second
+const failedHostBackoff = 10 * time.Second
 
 // splitByFailure splits addresses into those that have not failed within
 // failedHostBackoff and the others, sorted by the time of their failure.
-func byFailure(addresses []string, failedAt map[string]time.Time, at time.Time) (candidates, failed []string) {
+func splitByFailure(addresses []string, failedAt map[string]time.Time, now time.Time) (candidates, failed []string) {
 	for _, address := range addresses {
-		if when, ok := failedAt[address]; ok && at.Sub(when) < forgetFailureAfter {
+		if when, ok := failedAt[address]; ok && now.Sub(when) < failedHostBackoff {
 			failed = append(failed, address)
 			continue
 		}
@@ -179,7 +180,7 @@
 
 // firstReachable returns the address that accepts a connection first, within
 // probeTimeout.
-func first(ctx context.Context, addresses []string) (string, bool) {
+func firstReachable(ctx context.Context, addresses []string) (string, bool) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var tasks conc.WaitGroup
@@ -187,7 +188,7 @@
 	defer cancel()
 	answers := make(chan string, len(addresses))
 	for _, address := range addresses {
-		tasks.Go(func() { answers <- reach(ctx, address) })
+		tasks.Go(func() { answers <- probe(ctx, address) })
 	}
 	for range addresses {
 		if address := <-answers; address != "" {
@@ -199,7 +200,7 @@
 
 // probe returns the address if it accepts a connection, and an empty string
 // otherwise.
-func reach(ctx context.Context, address string) string {
+func probe(ctx context.Context, address string) string {
 	var dialer net.Dialer
 	c, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -211,41 +212,41 @@
 }
 
 // watch applies the updates of one control host until the stream fails, an update
-// is older than the view, or none arrives within silenceLimit.
+// is older than the view, or none arrives within silenceTimeout.
 func (w *Watch) watch(ctx context.Context, address string, p Proxy) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(silenceLimit, cancel)
+	silence := time.AfterFunc(silenceTimeout, cancel)
 	defer silence.Stop()
-	client := w.clients.At(address)
-	request := connect.NewRequest(&pb.WatchSiteRequest{Proxy: w.o.Name, DataCentre: w.o.DataCentre})
+	client := w.clients.ForAddress(address)
+	request := connect.NewRequest(&pb.WatchSiteRequest{Proxy: w.options.Name, DataCentre: w.options.DataCentre})
 	stream, err := client.Watch(ctx, request)
 	if err != nil {
 		return &fault.IO{Op: "watch", Err: err}
 	}
 	defer stream.Close()
-	first := true
+	firstUpdate := true
 	for stream.Receive() {
-		silence.Reset(silenceLimit)
+		silence.Reset(silenceTimeout)
 		if u := stream.Msg(); !u.Topology && len(u.ControlHosts) > 0 {
-			w.learn(u.ControlHosts)
+			w.setDiscoveredHosts(u.ControlHosts)
 			continue
 		}
-		if first {
+		if firstUpdate {
 			w.log.Info("proxy watches a control host", "address", address)
-			first = false
+			firstUpdate = false
 		}
-		if !w.take(address, stream.Msg(), p) {
+		if !w.applyUpdate(address, stream.Msg(), p) {
 			return &OldState{Address: address}
 		}
 	}
 	return &fault.IO{Op: "watch", Err: stream.Err()}
 }
 
-func (w *Watch) learn(hosts []string) {
+func (w *Watch) setDiscoveredHosts(hosts []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.learned = hosts
+	w.discoveredHosts = hosts
 }
 
 // OldState reports a control host whose state of the site is older than the view
@@ -259,9 +260,9 @@
 // applyUpdate applies an update to the view. It reports false if the update is
 // older than the view. Later updates of the same stream hold only changes since
 // that one, so the stream is of no use any more.
-func (w *Watch) take(address string, u *pb.SiteUpdate, p Proxy) bool {
+func (w *Watch) applyUpdate(address string, u *pb.SiteUpdate, p Proxy) bool {
 	w.mu.Lock()
-	w.current, w.heardAt = address, bootclock.Now()
+	w.watchedAddress, w.lastUpdateAt = address, bootclock.Now()
 	if u.Index < w.parts.Index {
 		w.mu.Unlock()
 		return false
@@ -291,11 +292,11 @@
 func (w *Watch) runReports(ctx context.Context, p Proxy) {
 	var last []string
 	var sentAt time.Time
-	for pause.For(ctx, reportTick) {
+	for pause.For(ctx, reportCheckInterval) {
 		unreachable, untried := p.Reach()
 		interval := sitecontrol.ReportInterval
 		if len(unreachable) > 0 {
-			interval = sitecontrol.ComplaintInterval
+			interval = sitecontrol.UnreachableReportInterval
 		}
 		if slices.Equal(unreachable, last) && bootclock.Since(sentAt) < interval {
 			continue
@@ -311,24 +312,24 @@
 
 func (w *Watch) report(ctx context.Context, unreachable, untried []string) bool {
 	w.mu.Lock()
-	address := w.current
+	address := w.watchedAddress
 	w.mu.Unlock()
 	if address == "" {
 		return false
 	}
-	request := &pb.ReportRequest{Reporter: w.o.Name, Proxies: 1}
-	request.Complaints = complaints(unreachable)
-	request.Untried = complaints(untried)
+	request := &pb.ReportRequest{Reporter: w.options.Name, Proxies: 1}
+	request.Complaints = newComplaints(unreachable)
+	request.Untried = newComplaints(untried)
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	if _, err := w.clients.At(address).Report(ctx, connect.NewRequest(request)); err != nil {
+	if _, err := w.clients.ForAddress(address).Report(ctx, connect.NewRequest(request)); err != nil {
 		w.metrics.Counter("reports_failed_total").Inc(1)
 		return false
 	}
 	return true
 }
 
-func complaints(ids []string) []*pb.Complaint {
+func newComplaints(ids []string) []*pb.Complaint {
 	var list []*pb.Complaint
 	for _, id := range ids {
 		list = append(list, &pb.Complaint{Upstream: id, Proxies: 1})
@@ -342,13 +343,13 @@
 // *fault.NotRun.
 func (w *Watch) Positions(ctx context.Context, groups []string) ([]proxy.GroupPosition, error) {
 	w.mu.Lock()
-	address := w.current
+	address := w.watchedAddress
 	w.mu.Unlock()
 	if address == "" {
 		return nil, &fault.NotRun{Reason: consensus.ReasonNoLeader, Detail: "no control host is known"}
 	}
 	calledAt := bootclock.Now()
-	response, err := w.clients.At(address).Positions(ctx, connect.NewRequest(&pb.PositionsRequest{Groups: groups}))
+	response, err := w.clients.ForAddress(address).Positions(ctx, connect.NewRequest(&pb.PositionsRequest{Groups: groups}))
 	if err != nil {
 		return nil, &fault.IO{Op: "ask for positions", Err: err}
 	}
--- a/sitewatch/sitewatch_test.go
+++ b/sitewatch/sitewatch_test.go
@@ -11,19 +11,19 @@
 // off from the others together, and never tries a third: it served an old
 // configuration for 4 s (pll-sketchyard, two-cuts --vary --seed 125042892340).
 func TestAllOtherControlHostsAreTriedBeforeOneThatFailed(t *testing.T) {
-	at := time.Unix(100, 0)
-	ago := func(d time.Duration) time.Time { return at.Add(-d) }
+	now := time.Unix(100, 0)
+	ago := func(d time.Duration) time.Time { return now.Add(-d) }
 	addresses := []string{"a", "b", "c"}
 	failedAt := map[string]time.Time{"a": ago(3 * time.Second), "b": ago(time.Second)}
-	candidates, failed := byFailure(addresses, failedAt, at)
+	candidates, failed := splitByFailure(addresses, failedAt, now)
 	assert.DeepEqual(t, candidates, []string{"c"})
 	assert.DeepEqual(t, failed, []string{"a", "b"})
 
 	failedAt["c"] = ago(0)
-	candidates, failed = byFailure(addresses, failedAt, at)
+	candidates, failed = splitByFailure(addresses, failedAt, now)
 	assert.Equal(t, len(candidates), 0)
 	assert.DeepEqual(t, failed, []string{"a", "b", "c"})
 
-	candidates, _ = byFailure(addresses, failedAt, at.Add(forgetFailureAfter))
+	candidates, _ = splitByFailure(addresses, failedAt, now.Add(failedHostBackoff))
 	assert.DeepEqual(t, candidates, addresses)
 }
