--- a/sitecontrol/primary.go
+++ b/sitecontrol/primary.go
@@ -152,8 +152,8 @@
 	w.probedAt = now()
 	err := w.probePrimaryRole(ctx, primary)
 	var busy *BusyUpstream
-	var notLeading *NotLeading
-	if errors.As(err, &notLeading) {
+	var notPrimary *NotLeading
+	if errors.As(err, &notPrimary) {
 		w.findPrimary(ctx, append(others, primary), g)
 		return
 	}
--- a/sitecontrol/server.go
+++ b/sitecontrol/server.go
@@ -51,12 +51,12 @@
 // BusyUpstream reports an upstream that is alive but has no free slot.
 type BusyUpstream struct{ ID string }
 
-func (e *BusyUpstream) Error() string { return "upstream " + e.ID + " is busy" }
+func (e *BusyUpstream) Error() string { return "upstream " + e.ID + " has no free slot" }
 
 // NotLeading reports an upstream that answered that it is not a primary.
 type NotLeading struct{ ID string }
 
-func (e *NotLeading) Error() string { return "upstream " + e.ID + " does not lead" }
+func (e *NotLeading) Error() string { return "upstream " + e.ID + " is not a primary" }
 
 // Promoter orders the platform to promote an upstream. A call that fails without
 // an answer may still be carried out later, unless an order with a higher token
@@ -215,8 +215,8 @@
 	return decompressDocument(state.Document)
 }
 
-// LeaderHost returns the IP of the leading control host. It returns false if
-// this host knows no leader.
+// LeaderHost returns the IP of the control host that leads, or false if this host
+// knows no leader.
 func (s *Server) LeaderHost() (string, bool) {
 	_, address, ok := s.options.Consensus.Leader()
 	if !ok {
