--- a/failover/calls.go
+++ b/failover/calls.go
@@ -9,11 +9,12 @@
 	"lovageslip/upstream"
 )
 
-// call is what one upstream is asked on a fresh connection.
+// call is a request to one upstream, made on a new connection.
 type call func(ctx context.Context, conn upstream.Conn) (upstream.Status, error)
 
-// reply is the outcome of a call. After an error, fenced tells the highest
-// term that the upstream has promised to, if it still answered that.
+// reply is the outcome of a call to one upstream. fenced is the highest term that
+// the upstream is bound to. After an error it comes from a status call that
+// followed, and is zero if that failed, too.
 type reply struct {
 	name   string
 	status upstream.Status
@@ -21,47 +22,49 @@
 	err    error
 }
 
-// ask calls upstreams in parallel and returns the replies that arrived until
-// all have answered, or until stop says that the rest need not be waited for.
-// Calls that are still running end within callTimeout of their start.
-func (s *Supervisor) ask(ctx context.Context, targets []*pb.Upstream, do call, until stop) ([]reply, error) {
+// ask calls upstreams in parallel and returns their replies. It returns when all
+// have replied or when the stop condition is met; calls that are still running
+// then end within callTimeout of their start. It fails with *NotLeading, without
+// any call, if the leader's term has ended.
+func (s *Supervisor) ask(ctx context.Context, targets []*pb.Upstream, do call, until stopCondition) ([]reply, error) {
 	if !s.journal.Leading() {
 		return nil, &NotLeading{}
 	}
-	arriving := make(chan reply, len(targets))
+	incoming := make(chan reply, len(targets))
 	for _, u := range targets {
-		s.running.Go(func() { arriving <- s.askOne(ctx, u, do) })
+		s.running.Go(func() { incoming <- s.askOne(ctx, u, do) })
 	}
 	var replies []reply
-	var late <-chan time.Time
-	ok := 0
+	var delayOver <-chan time.Time
+	successes := 0
 	for len(replies) < len(targets) {
 		select {
-		case r := <-arriving:
+		case r := <-incoming:
 			replies = append(replies, r)
-			if r.err == nil && r.name != until.except {
-				ok++
+			if r.err == nil && r.name != until.uncounted {
+				successes++
 			}
-		case <-late:
+		case <-delayOver:
 			return replies, nil
 		}
-		if late == nil && ok >= until.enough {
-			late = time.After(until.extra)
+		if delayOver == nil && successes >= until.minSucceeded {
+			delayOver = time.After(until.delay)
 		}
 	}
 	return replies, nil
 }
 
-// stop says when ask need not wait for the remaining upstreams: enough have
-// done what they were asked, not counting except, and extra has passed since.
-type stop struct {
-	enough int
-	except string
-	extra  time.Duration
+// stopCondition says when ask returns without the remaining replies: minSucceeded
+// upstreams, not counting the one named uncounted, have replied without an error,
+// and delay has passed since.
+type stopCondition struct {
+	minSucceeded int
+	uncounted    string
+	delay        time.Duration
 }
 
-// never makes ask wait for every upstream.
-var never = stop{enough: math.MaxInt}
+// waitForAll makes ask wait for the reply of every upstream.
+var waitForAll = stopCondition{minSucceeded: math.MaxInt}
 
 func (s *Supervisor) askOne(ctx context.Context, u *pb.Upstream, do call) reply {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -73,18 +76,20 @@
 	defer conn.Close()
 	status, err := do(ctx, conn)
 	if err == nil {
-		return reply{name: u.GetName(), status: status, fenced: promised(status)}
+		return reply{name: u.GetName(), status: status, fenced: boundTerm(status)}
 	}
-	// A refusal does not say which term the upstream is fenced at.
+	// The error does not say at which term the upstream is fenced, so its
+	// status is read on the same connection.
 	after, statusErr := conn.Status(ctx)
 	if statusErr != nil {
 		return reply{name: u.GetName(), err: err}
 	}
-	return reply{name: u.GetName(), status: after, fenced: promised(after), err: err}
+	return reply{name: u.GetName(), status: after, fenced: boundTerm(after), err: err}
 }
 
-// promised is the highest term that a server is bound to.
-func promised(status upstream.Status) upstream.Term { return max(status.Fenced, status.Term) }
+// boundTerm returns the highest term that an upstream is bound to: it refuses
+// calls at lower terms.
+func boundTerm(status upstream.Status) upstream.Term { return max(status.Fenced, status.Term) }
 
 func askStatus(ctx context.Context, conn upstream.Conn) (upstream.Status, error) {
 	return conn.Status(ctx)
@@ -110,8 +115,8 @@
 	}
 }
 
-// askFollow fences first, so that an old primary accepts nothing more even if
-// the second call is lost.
+// askFollow fences the upstream before it orders it to follow, so that an old
+// primary accepts no more writes even if the second call is lost.
 func askFollow(term upstream.Term, address string) call {
 	return func(ctx context.Context, conn upstream.Conn) (upstream.Status, error) {
 		if status, err := conn.Fence(ctx, term); err != nil {
@@ -130,11 +135,11 @@
 }
 
 func succeeded(replies []reply) []reply {
-	var good []reply
+	var withoutError []reply
 	for _, r := range replies {
 		if r.err == nil {
-			good = append(good, r)
+			withoutError = append(withoutError, r)
 		}
 	}
-	return good
+	return withoutError
 }
--- a/failover/change.go
+++ b/failover/change.go
@@ -11,10 +11,10 @@
 	"lovageslip/upstream"
 )
 
-// majority returns how many members of g make a majority.
+// majority returns how many members of the group are a majority.
 func majority(g *pb.Group) int { return len(g.GetMembers())/2 + 1 }
 
-// membersOf returns the registered members of a group.
+// membersOf returns the members of a group that are registered upstreams.
 func membersOf(frame *controlstate.Frame, g *pb.Group) []*pb.Upstream {
 	var members []*pb.Upstream
 	for _, name := range g.GetMembers() {
@@ -25,17 +25,18 @@
 	return members
 }
 
-// proceed continues a change of primary from its logged step to its end.
-func (s *Supervisor) proceed(ctx context.Context, database string) error {
+// continueChange carries out a change of primary from its logged step to its
+// end.
+func (s *Supervisor) continueChange(ctx context.Context, database string) error {
 	for {
 		frame := s.journal.Frame()
 		g := frame.Groups[database]
 		var err error
 		switch g.GetStep() {
 		case pb.PromotionStep_PROMOTION_STEP_STARTED:
-			err = s.choose(ctx, frame, g)
+			err = s.choosePrimary(ctx, frame, g)
 		case pb.PromotionStep_PROMOTION_STEP_CHOSEN:
-			err = s.install(ctx, frame, g)
+			err = s.installPrimary(ctx, frame, g)
 		default:
 			return nil
 		}
@@ -45,23 +46,24 @@
 	}
 }
 
-// begin logs the start of a change at a term and carries it out.
-func (s *Supervisor) begin(ctx context.Context, g *pb.Group, term upstream.Term, reason string) error {
+// startChange logs the start of a change of primary at a term and carries it
+// out.
+func (s *Supervisor) startChange(ctx context.Context, g *pb.Group, term upstream.Term, reason string) error {
 	if err := s.logStart(ctx, g, term, reason); err != nil {
 		return err
 	}
-	return s.proceed(ctx, g.GetDatabase())
+	return s.continueChange(ctx, g.GetDatabase())
 }
 
 func (s *Supervisor) logStart(ctx context.Context, g *pb.Group, term upstream.Term, reason string) error {
 	s.metrics.Tagged(map[string]string{"reason": reason}).Counter("changes_started_total").Inc(1)
 	s.log.Info("change of primary started", "database", g.GetDatabase(), "term", term, "old_primary", g.GetPrimary(), "reason", reason)
-	return s.step(ctx, g, "started", &pb.Command{Command: &pb.Command_PromotionStarted{
+	return s.logStep(ctx, g, "started", &pb.Command{Command: &pb.Command_PromotionStarted{
 		PromotionStarted: &pb.PromotionStarted{Database: g.GetDatabase(), Term: uint64(term)},
 	}})
 }
 
-func (s *Supervisor) step(ctx context.Context, g *pb.Group, name string, cmd *pb.Command) error {
+func (s *Supervisor) logStep(ctx context.Context, g *pb.Group, name string, cmd *pb.Command) error {
 	applied, err := s.journal.Propose(ctx, cmd)
 	if err != nil {
 		return err
@@ -72,11 +74,13 @@
 	return nil
 }
 
-// choose fences a majority and logs the most advanced of the fenced members.
-func (s *Supervisor) choose(ctx context.Context, frame *controlstate.Frame, g *pb.Group) error {
+// choosePrimary fences a majority of the members at the term of the change, and
+// logs the most advanced of the fenced members as the chosen one. It starts again
+// at a higher term if a member is already fenced above that one.
+func (s *Supervisor) choosePrimary(ctx context.Context, frame *controlstate.Frame, g *pb.Group) error {
 	term := upstream.Term(g.GetTerm())
 	needed := majority(g)
-	replies, err := s.ask(ctx, membersOf(frame, g), askFence(term), stop{enough: needed, except: g.GetReplaced(), extra: extraWait})
+	replies, err := s.ask(ctx, membersOf(frame, g), askFence(term), stopCondition{minSucceeded: needed, uncounted: g.GetReplaced(), delay: extraFenceWait})
 	if err != nil {
 		return err
 	}
@@ -87,58 +91,61 @@
 	if len(fenced) < needed {
 		return &NoMajority{Database: g.GetDatabase(), Answered: len(fenced), Needed: needed}
 	}
-	best := pick(fenced, s.eligible(frame, g, fenced), frame)
-	return s.step(ctx, g, "chosen", &pb.Command{Command: &pb.Command_PromotionChosen{
+	best := mostAdvanced(fenced, s.eligible(frame, g, fenced), frame)
+	return s.logStep(ctx, g, "chosen", &pb.Command{Command: &pb.Command_PromotionChosen{
 		PromotionChosen: &pb.PromotionChosen{Database: g.GetDatabase(), Term: g.GetTerm(), Upstream: best.name},
 	}})
 }
 
-// eligible leaves out the replaced primary and leaving members if the others
-// are sure to hold all that was acknowledged: so many are fenced that they meet
-// every majority, and nothing acknowledged under earlier members is missing
-// (settled). A replaced primary that is cut off from its group holds the most
-// entries of all; choosing it again would change nothing.
+// eligible returns the fenced members that may be chosen. It leaves out the
+// replaced primary and leaving members if the others are sure to hold every
+// acknowledged write: enough of them are fenced to intersect every majority, and
+// they miss nothing that was acknowledged under earlier members
+// (majorityCaughtUp). A replaced primary that is cut off from its group may hold
+// the most entries of all; choosing it again would change nothing.
 func (s *Supervisor) eligible(frame *controlstate.Frame, g *pb.Group, fenced []reply) []reply {
-	var staying []reply
+	var notLeaving []reply
 	for _, r := range fenced {
 		if r.name != g.GetReplaced() && !frame.Upstreams[r.name].GetLeaving() {
-			staying = append(staying, r)
+			notLeaving = append(notLeaving, r)
 		}
 	}
-	meetsEvery := len(g.GetMembers()) - majority(g) + 1
-	if len(staying) >= meetsEvery && s.factsOf(g.GetDatabase()).settled {
-		return staying
+	minIntersecting := len(g.GetMembers()) - majority(g) + 1
+	if len(notLeaving) >= minIntersecting && s.factsOf(g.GetDatabase()).majorityCaughtUp {
+		return notLeaving
 	}
 	return fenced
 }
 
-// pick returns the most advanced reply; among equals one that stays, then the
-// first name.
-func pick(fenced, eligible []reply, frame *controlstate.Frame) reply {
+// mostAdvanced returns the most advanced of the eligible replies, or of the
+// fenced ones if none is eligible. Among equals it prefers one that is not
+// leaving, then the first name.
+func mostAdvanced(fenced, eligible []reply, frame *controlstate.Frame) reply {
 	candidates := eligible
 	if len(candidates) == 0 {
 		candidates = fenced
 	}
 	return slices.MaxFunc(candidates, func(a, b reply) int {
 		return cmp.Or(
-			compare(a.status, b.status),
-			staying(frame, a.name)-staying(frame, b.name),
+			compareLogs(a.status, b.status),
+			stayingRank(frame, a.name)-stayingRank(frame, b.name),
 			cmp.Compare(b.name, a.name),
 		)
 	})
 }
 
-func staying(frame *controlstate.Frame, name string) int {
+func stayingRank(frame *controlstate.Frame, name string) int {
 	if frame.Upstreams[name].GetLeaving() {
 		return 0
 	}
 	return 1
 }
 
-// compare orders by the term of the last entry, then by offset. The term that
-// a server follows says nothing of its log: a returning primary may follow a
-// new term and still hold entries past the fork.
-func compare(a, b upstream.Status) int {
+// compareLogs orders upstreams by the term of their last entry, then by offset.
+// The term that an upstream follows does not order logs: a primary that returns
+// may follow a new term and still hold entries past the point where the new
+// primary's log branched off.
+func compareLogs(a, b upstream.Status) int {
 	return cmp.Or(cmp.Compare(lastTerm(a), lastTerm(b)), cmp.Compare(a.Offset, b.Offset))
 }
 
@@ -149,9 +156,9 @@
 	return status.History[len(status.History)-1].Term
 }
 
-// install promotes the chosen upstream, orders the others to follow it and
-// logs the end.
-func (s *Supervisor) install(ctx context.Context, frame *controlstate.Frame, g *pb.Group) error {
+// installPrimary promotes the chosen upstream, orders the others to follow it,
+// and logs the end of the change.
+func (s *Supervisor) installPrimary(ctx context.Context, frame *controlstate.Frame, g *pb.Group) error {
 	chosen, registered := frame.Upstreams[g.GetChosen()]
 	if !registered {
 		return s.logStart(ctx, g, upstream.Term(g.GetTerm())+1, "chosen_removed")
@@ -162,7 +169,7 @@
 	if _, err := s.orderFollow(ctx, g, chosen, followers(frame, g, chosen.GetName())); err != nil {
 		return err
 	}
-	err := s.step(ctx, g, "finished", &pb.Command{Command: &pb.Command_PromotionFinished{
+	err := s.logStep(ctx, g, "finished", &pb.Command{Command: &pb.Command_PromotionFinished{
 		PromotionFinished: &pb.PromotionFinished{Database: g.GetDatabase(), Term: g.GetTerm()},
 	}})
 	if err != nil {
@@ -173,11 +180,12 @@
 	return nil
 }
 
-// promote may be repeated after a lost answer, because the upstream does
-// nothing at a term that it leads already.
+// promote orders the chosen upstream to become the primary of the group's term.
+// It may be repeated after a lost answer: it is idempotent, because an upstream
+// does nothing at a term of which it is the primary already.
 func (s *Supervisor) promote(ctx context.Context, g *pb.Group, chosen *pb.Upstream) error {
 	term := upstream.Term(g.GetTerm())
-	replies, err := s.ask(ctx, []*pb.Upstream{chosen}, askPromote(term), never)
+	replies, err := s.ask(ctx, []*pb.Upstream{chosen}, askPromote(term), waitForAll)
 	if err != nil {
 		return err
 	}
@@ -187,26 +195,28 @@
 	return replies[0].err
 }
 
-// afterFailedPromotion starts again at a higher term if the chosen upstream
-// has refused or has failed too often.
+// afterFailedPromotion starts the change again at a higher term if the chosen
+// upstream is fenced at a higher one, or if its promotion has failed
+// maxPromoteAttempts times. Otherwise it returns the cause, and the promotion is
+// tried again later.
 func (s *Supervisor) afterFailedPromotion(ctx context.Context, g *pb.Group, cause error) error {
 	if refused, ok := asRefused(cause); ok && refused.Fenced > g.GetTerm() {
 		return s.logStart(ctx, g, upstream.Term(refused.Fenced)+1, "fenced_higher")
 	}
 	failures := 0
-	s.remember(s.factsOf(g.GetDatabase()).watch, func(f *groupFacts) {
+	s.updateFacts(s.factsOf(g.GetDatabase()).watch, func(f *groupFacts) {
 		f.promoteFailures++
 		failures = f.promoteFailures
 	})
-	if failures < promoteTries {
+	if failures < maxPromoteAttempts {
 		return cause
 	}
-	s.remember(s.factsOf(g.GetDatabase()).watch, func(f *groupFacts) { f.promoteFailures = 0 })
+	s.updateFacts(s.factsOf(g.GetDatabase()).watch, func(f *groupFacts) { f.promoteFailures = 0 })
 	return s.logStart(ctx, g, upstream.Term(g.GetTerm())+1, "chosen_lost")
 }
 
 // followers returns all registered upstreams of the database but the primary.
-// Those that are not members follow too; they only do not count.
+// Those that are not members follow it as well, but do not count for a majority.
 func followers(frame *controlstate.Frame, g *pb.Group, primary string) []*pb.Upstream {
 	all := frame.InDatabase(g.GetDatabase())
 	others := make([]*pb.Upstream, 0, len(all))
@@ -218,11 +228,12 @@
 	return others
 }
 
-// orderFollow waits for as many as make a majority with the primary. The rest
-// is repaired later.
+// orderFollow orders upstreams to follow the primary, and waits until so many
+// have done so that they are a majority together with it. Those that have not
+// are ordered again by repair.
 func (s *Supervisor) orderFollow(ctx context.Context, g *pb.Group, primary *pb.Upstream, others []*pb.Upstream) ([]reply, error) {
 	order := askFollow(upstream.Term(g.GetTerm()), primary.GetAddress())
-	return s.ask(ctx, others, order, stop{enough: majority(g) - 1})
+	return s.ask(ctx, others, order, stopCondition{minSucceeded: majority(g) - 1})
 }
 
 func asRefused(err error) (*CallRefused, bool) {
--- a/failover/fake_test.go
+++ b/failover/fake_test.go
@@ -15,7 +15,7 @@
 	"lovageslip/upstream"
 )
 
-// fakeServer is a database server in memory. Its network guards it.
+// fakeServer is a database server in memory. The mutex of its fakeNet guards it.
 type fakeServer struct {
 	name, address string
 	down          bool
@@ -28,16 +28,17 @@
 	loseAnswers map[string]int
 }
 
-// fakeNet is the group of servers.
+// fakeNet is a group of fake servers.
 type fakeNet struct {
 	mu      sync.Mutex
 	servers map[string]*fakeServer
-	// led records which server was primary of each term.
-	led map[upstream.Term]map[string]bool
+	// primariesByTerm records the names of the servers that were primary of
+	// each term.
+	primariesByTerm map[upstream.Term]map[string]bool
 }
 
-// crash makes the control leader fail at its n-th interaction, before or
-// after that takes effect.
+// crash makes a control leader fail at its n-th interaction, a call to a server
+// or a proposal, before or after that takes effect.
 type crash struct {
 	mu     sync.Mutex
 	after  int
@@ -45,8 +46,8 @@
 	dead   bool
 }
 
-// step counts an interaction. It says whether it takes effect and whether the
-// leader sees the answer.
+// step counts an interaction. It returns whether the interaction takes effect and
+// whether the leader receives the answer.
 func (c *crash) step() (effect, answered bool) {
 	if c == nil {
 		return true, true
@@ -73,9 +74,9 @@
 	return !c.dead
 }
 
-// newNet returns a group whose first server leads term 1.
+// newNet returns a group whose first server is the primary of term 1.
 func newNet(names ...string) *fakeNet {
-	n := &fakeNet{servers: map[string]*fakeServer{}, led: map[upstream.Term]map[string]bool{}}
+	n := &fakeNet{servers: map[string]*fakeServer{}, primariesByTerm: map[upstream.Term]map[string]bool{}}
 	for i, name := range names {
 		s := &fakeServer{
 			name: name, address: "127.0.0.1:" + name, role: upstream.RoleReplica, term: 1, fenced: 1,
@@ -83,7 +84,7 @@
 		}
 		n.servers[name] = s
 		if i == 0 {
-			n.lead(s)
+			n.makePrimary(s)
 		}
 	}
 	for _, s := range n.servers {
@@ -92,12 +93,12 @@
 	return n
 }
 
-func (n *fakeNet) lead(s *fakeServer) {
+func (n *fakeNet) makePrimary(s *fakeServer) {
 	s.role = upstream.RolePrimary
-	if n.led[s.term] == nil {
-		n.led[s.term] = map[string]bool{}
+	if n.primariesByTerm[s.term] == nil {
+		n.primariesByTerm[s.term] = map[string]bool{}
 	}
-	n.led[s.term][s.name] = true
+	n.primariesByTerm[s.term][s.name] = true
 }
 
 func (n *fakeNet) edit(name string, change func(*fakeServer)) {
@@ -143,13 +144,13 @@
 	s.offset, s.history = p.offset, slices.Clone(p.history)
 }
 
-// view is the Dialer of one leader, which may crash.
-type view struct {
+// fakeDialer is the Dialer of one leader, which may crash.
+type fakeDialer struct {
 	net   *fakeNet
 	crash *crash
 }
 
-func (v *view) Dial(_ context.Context, address, _ string) (upstream.Conn, error) {
+func (v *fakeDialer) Dial(_ context.Context, address, _ string) (upstream.Conn, error) {
 	v.net.mu.Lock()
 	defer v.net.mu.Unlock()
 	for _, s := range v.net.servers {
@@ -225,7 +226,7 @@
 		}
 		s.term, s.fenced = term, term
 		s.history = append(slices.Clone(s.history), upstream.TermStart{Term: term, Start: s.offset})
-		c.net.lead(s)
+		c.net.makePrimary(s)
 		return nil
 	})
 }
@@ -240,7 +241,7 @@
 	})
 }
 
-// fakeJournal is one leader's view of a shared state.
+// fakeJournal is the Journal of one leader on a state that leaders share.
 type fakeJournal struct {
 	state *controlstate.State
 	term  uint64
@@ -291,7 +292,7 @@
 	return r, ok
 }
 
-// reportAll makes fresh reports of what the servers are now.
+// reportAll stores new reports on all servers in their present state.
 func (j *fakeJournal) reportAll(n *fakeNet, contactAge time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -305,7 +306,7 @@
 	}
 }
 
-// DropOwner records the request.
+// DropOwner implements failover.Journal; it records the name.
 func (j *fakeJournal) DropOwner(name string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/failover/members.go
+++ b/failover/members.go
@@ -9,39 +9,40 @@
 	"lovageslip/upstream"
 )
 
-// leavingRetry is how long to wait before a leaving primary is replaced again
-// after a change has chosen it once more.
-const leavingRetry = 5 * time.Second
+// leavingRetryInterval is the pause between two attempts to replace a leaving
+// primary. A change may have chosen the same primary again.
+const leavingRetryInterval = 5 * time.Second
 
-// memberChange is a change of one member that is wanted.
+// memberChange is the addition or removal of one member.
 type memberChange struct {
 	upstream string
 	remove   bool
 }
 
-// decideMembers settles the members, replaces a primary that leaves, and
-// changes one member. Settling does not wait for a wanted change, because a
-// primary that is cut off later can be passed over only if the members had
-// settled before.
-func (s *Supervisor) decideMembers(frame *controlstate.Frame, g *pb.Group, w groupFacts, now time.Time) func(context.Context) error {
-	if now.Sub(w.membersAt) < s.expiry {
+// decideMembers returns the next action that the members need, nil if none: the
+// check that a majority has caught up, the replacement of a leaving primary, the
+// change of one member, or the removal of a registration. The check does not wait
+// until a member is to change, because a primary that is cut off later can be
+// left out of the choice only if a majority had caught up before.
+func (s *Supervisor) decideMembers(frame *controlstate.Frame, g *pb.Group, facts groupFacts, now time.Time) func(context.Context) error {
+	if now.Sub(facts.membersSince) < s.leaseExpiry {
 		return nil
 	}
-	if !w.settled {
-		return func(ctx context.Context) error { return s.settle(ctx, g, w) }
+	if !facts.majorityCaughtUp {
+		return func(ctx context.Context) error { return s.checkMajorityCaughtUp(ctx, g, facts) }
 	}
 	leaving := frame.Upstreams[g.GetPrimary()].GetLeaving()
 	change, wanted := s.wantedChange(frame, g, now)
 	if !leaving && !wanted {
-		return s.decideRemoval(frame, g, now)
+		return s.decideUpstreamRemoval(frame, g, now)
 	}
-	if leaving && hasSuccessor(frame, g) && now.Sub(w.replacedAt) >= leavingRetry {
-		return func(ctx context.Context) error { return s.replaceLeaving(ctx, g, w) }
+	if leaving && hasSuccessor(frame, g) && now.Sub(facts.replacementTriedAt) >= leavingRetryInterval {
+		return func(ctx context.Context) error { return s.replaceLeaving(ctx, g, facts) }
 	}
 	if !wanted {
 		return nil
 	}
-	return func(ctx context.Context) error { return s.changeMember(ctx, g, w, change) }
+	return func(ctx context.Context) error { return s.changeMember(ctx, g, facts, change) }
 }
 
 func hasSuccessor(frame *controlstate.Frame, g *pb.Group) bool {
@@ -53,8 +54,9 @@
 	return false
 }
 
-// wantedChange adds before it removes, so that a group that is being replaced
-// keeps as many members as it can.
+// wantedChange returns a member that is to be added or removed, if any. Additions
+// come first, so that a group whose upstreams are being replaced keeps as many
+// members as possible.
 func (s *Supervisor) wantedChange(frame *controlstate.Frame, g *pb.Group, now time.Time) (memberChange, bool) {
 	for _, u := range followers(frame, g, g.GetPrimary()) {
 		if !u.GetLeaving() && !isMember(g, u.GetName()) && s.canJoin(g, u.GetName(), now) {
@@ -78,7 +80,7 @@
 	return false
 }
 
-// canJoin is true for a replica that reports the present term.
+// canJoin reports whether an upstream is reachable and follows the group's term.
 func (s *Supervisor) canJoin(g *pb.Group, name string, now time.Time) bool {
 	report, fresh := s.freshReport(name, now)
 	return fresh && report.Reachable && uint64(report.Term) == g.GetTerm()
@@ -92,32 +94,34 @@
 	return fresh && !report.Reachable && report.Unreachable >= memberRemovalTime
 }
 
-// settle checks that a majority of the members holds what the primary had at
-// least one lease after these members came into force.
-func (s *Supervisor) settle(ctx context.Context, g *pb.Group, w groupFacts) error {
-	replies, err := s.ask(ctx, membersOf(s.journal.Frame(), g), askStatus, never)
+// checkMajorityCaughtUp reads a position of the primary, the watermark, at least
+// one lease after the present members came into force. Later calls check that a
+// majority of the members holds everything up to it.
+func (s *Supervisor) checkMajorityCaughtUp(ctx context.Context, g *pb.Group, facts groupFacts) error {
+	replies, err := s.ask(ctx, membersOf(s.journal.Frame(), g), askStatus, waitForAll)
 	if err != nil {
 		return err
 	}
-	if w.settleTerm == g.GetTerm() {
-		if n := holding(replies, g, w.settlePosition); n < majority(g) {
-			return &NotSettled{Database: g.GetDatabase(), Reason: "no majority has caught up"}
+	if facts.watermarkTerm == g.GetTerm() {
+		if n := countHolding(replies, g, facts.watermark); n < majority(g) {
+			return &MemberChangeDeferred{Database: g.GetDatabase(), Reason: "no majority has caught up"}
 		}
-		s.remember(w.watch, func(f *groupFacts) { f.settled = true })
+		s.updateFacts(facts.watch, func(f *groupFacts) { f.majorityCaughtUp = true })
 		s.log.Info("members settled", "database", g.GetDatabase(), "members", g.GetMembers())
 		return nil
 	}
 	for _, r := range replies {
-		if r.name == g.GetPrimary() && leads(replies, g) {
-			s.remember(w.watch, func(f *groupFacts) { f.settlePosition, f.settleTerm = r.status.Position(), g.GetTerm() })
+		if r.name == g.GetPrimary() && primaryAnswered(replies, g) {
+			s.updateFacts(facts.watch, func(f *groupFacts) { f.watermark, f.watermarkTerm = r.status.Position(), g.GetTerm() })
 			return nil
 		}
 	}
-	return &NotSettled{Database: g.GetDatabase(), Reason: "the primary does not answer"}
+	return &MemberChangeDeferred{Database: g.GetDatabase(), Reason: "the primary does not answer"}
 }
 
-// holding counts the upstreams that follow the group's term and include p.
-func holding(replies []reply, g *pb.Group, p upstream.Position) int {
+// countHolding returns how many of the upstreams follow the group's term and hold
+// everything up to position p.
+func countHolding(replies []reply, g *pb.Group, p upstream.Position) int {
 	n := 0
 	for _, r := range replies {
 		if r.err == nil && uint64(r.status.Term) == g.GetTerm() && r.status.Includes(p) {
@@ -127,24 +131,25 @@
 	return n
 }
 
-// changeMember logs a change after it has checked again that a majority
-// answers, and that a new member has caught up with settlePosition.
-func (s *Supervisor) changeMember(ctx context.Context, g *pb.Group, w groupFacts, change memberChange) error {
+// changeMember logs the change of a member, after it has checked again that a
+// majority of the members holds everything up to the watermark, and so does a new
+// member.
+func (s *Supervisor) changeMember(ctx context.Context, g *pb.Group, facts groupFacts, change memberChange) error {
 	frame := s.journal.Frame()
-	replies, err := s.ask(ctx, membersOf(frame, g), askStatus, never)
+	replies, err := s.ask(ctx, membersOf(frame, g), askStatus, waitForAll)
 	if err != nil {
 		return err
 	}
-	if holding(replies, g, w.settlePosition) < majority(g) {
-		return &NotSettled{Database: g.GetDatabase(), Reason: "no majority has caught up"}
+	if countHolding(replies, g, facts.watermark) < majority(g) {
+		return &MemberChangeDeferred{Database: g.GetDatabase(), Reason: "no majority has caught up"}
 	}
 	if !change.remove {
-		if err := s.caughtUp(ctx, frame, g, w, change.upstream); err != nil {
+		if err := s.checkCaughtUp(ctx, frame, g, facts, change.upstream); err != nil {
 			return err
 		}
 	}
-	s.log.Info("member changes", "database", g.GetDatabase(), "upstream", change.upstream, "remove", change.remove)
-	return s.step(ctx, g, "change_member", &pb.Command{Command: &pb.Command_ChangeMember{ChangeMember: &pb.ChangeMember{
+	s.log.Info("change of a group member proposed", "database", g.GetDatabase(), "upstream", change.upstream, "remove", change.remove)
+	return s.logStep(ctx, g, "change_member", &pb.Command{Command: &pb.Command_ChangeMember{ChangeMember: &pb.ChangeMember{
 		Database: g.GetDatabase(),
 		Upstream: change.upstream,
 		Remove:   change.remove,
@@ -152,40 +157,43 @@
 	}}})
 }
 
-func (s *Supervisor) caughtUp(ctx context.Context, frame *controlstate.Frame, g *pb.Group, w groupFacts, name string) error {
-	replies, err := s.ask(ctx, []*pb.Upstream{frame.Upstreams[name]}, askStatus, never)
+func (s *Supervisor) checkCaughtUp(ctx context.Context, frame *controlstate.Frame, g *pb.Group, facts groupFacts, name string) error {
+	replies, err := s.ask(ctx, []*pb.Upstream{frame.Upstreams[name]}, askStatus, waitForAll)
 	if err != nil {
 		return err
 	}
-	if holding(replies, g, w.settlePosition) == 0 {
-		return &NotSettled{Database: g.GetDatabase(), Reason: name + " has not caught up"}
+	if countHolding(replies, g, facts.watermark) == 0 {
+		return &MemberChangeDeferred{Database: g.GetDatabase(), Reason: name + " has not caught up"}
 	}
 	return nil
 }
 
-// replaceLeaving changes the primary while the old one still works. It starts
-// only if a replica that stays follows the present term.
-func (s *Supervisor) replaceLeaving(ctx context.Context, g *pb.Group, w groupFacts) error {
-	s.remember(w.watch, func(f *groupFacts) { f.replacedAt = s.now() })
+// replaceLeaving changes a leaving primary while it still works. It starts the
+// change only if a majority answers and a member that is not leaving has caught
+// up with the watermark.
+func (s *Supervisor) replaceLeaving(ctx context.Context, g *pb.Group, facts groupFacts) error {
+	s.updateFacts(facts.watch, func(f *groupFacts) { f.replacementTriedAt = s.now() })
 	frame := s.journal.Frame()
-	replies, err := s.ask(ctx, membersOf(frame, g), askStatus, never)
+	replies, err := s.ask(ctx, membersOf(frame, g), askStatus, waitForAll)
 	if err != nil {
 		return err
 	}
 	ready := 0
 	for _, r := range replies {
 		if !frame.Upstreams[r.name].GetLeaving() {
-			ready += holding([]reply{r}, g, w.settlePosition)
+			ready += countHolding([]reply{r}, g, facts.watermark)
 		}
 	}
 	if ready == 0 || len(succeeded(replies)) < majority(g) {
 		return &NoMajority{Database: g.GetDatabase(), Answered: len(succeeded(replies)), Needed: majority(g)}
 	}
-	return s.begin(ctx, g, nextTerm(g, replies), reasonLeaving)
+	return s.startChange(ctx, g, nextTerm(g, replies), reasonLeaving)
 }
 
-// decideRemoval removes the registration of a leaving upstream that has gone.
-func (s *Supervisor) decideRemoval(frame *controlstate.Frame, g *pb.Group, now time.Time) func(context.Context) error {
+// decideUpstreamRemoval returns the removal of the registration of a leaving
+// upstream that is not a member any more and has been unreachable for
+// leavingRemovalTime, nil if there is none.
+func (s *Supervisor) decideUpstreamRemoval(frame *controlstate.Frame, g *pb.Group, now time.Time) func(context.Context) error {
 	for _, u := range followers(frame, g, g.GetPrimary()) {
 		if !u.GetLeaving() || isMember(g, u.GetName()) {
 			continue
@@ -195,7 +203,7 @@
 			continue
 		}
 		return func(ctx context.Context) error {
-			return s.step(ctx, g, "remove_upstream", &pb.Command{Command: &pb.Command_RemoveUpstream{
+			return s.logStep(ctx, g, "remove_upstream", &pb.Command{Command: &pb.Command_RemoveUpstream{
 				RemoveUpstream: &pb.RemoveUpstream{Name: u.GetName()},
 			}})
 		}
--- a/site/state.go
+++ b/site/state.go
@@ -1,6 +1,7 @@
-// Package site holds the replicated state of a site: its configuration, the
-// upstreams that announced themselves, and which upstream leads each group.
-// It knows neither the network nor the platform.
+// Package site holds the state of a site that the control hosts replicate
+// (package sitecontrol): its configuration, the upstreams that announced
+// themselves, and the primary of each group. It also builds the view of that
+// state that a proxy works with. It uses neither the network nor the platform.
 package site
 
 import (
@@ -17,7 +18,7 @@
 type State struct {
 	// mu guards the fields below.
 	mu      sync.Mutex
-	current *pb.SiteState // never modified in place
+	current *pb.SiteState // immutable; each change replaces it
 	index   uint64
 	changed chan struct{}
 }
@@ -28,7 +29,7 @@
 }
 
 // Current returns the state, which the caller must not modify, the log index of
-// its last change, and a channel that is closed at the next change.
+// its last change, and a channel that is closed when the state changes.
 func (s *State) Current() (state *pb.SiteState, index uint64, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,8 +104,9 @@
 	return true
 }
 
-// Supersedes reports whether an announcement is newer than a record of the
-// same upstream. Announcements of one process are ordered by their sequence.
+// Supersedes reports whether the announcement u is newer than the record of the
+// same upstream. The process that started later is newer; announcements of one
+// process are ordered by their sequence number.
 func Supersedes(u, record *pb.SiteUpstream) bool {
 	if u.BornMs != record.BornMs {
 		return u.BornMs > record.BornMs
@@ -116,20 +118,21 @@
 	if u == nil || !evictAddress(state, u) {
 		return false
 	}
-	at := slices.IndexFunc(state.Upstreams, func(r *pb.SiteUpstream) bool { return r.Id == u.Id })
-	if at < 0 {
+	i := slices.IndexFunc(state.Upstreams, func(r *pb.SiteUpstream) bool { return r.Id == u.Id })
+	if i < 0 {
 		state.Upstreams = append(state.Upstreams, u)
 		return true
 	}
-	if !Supersedes(u, state.Upstreams[at]) {
+	if !Supersedes(u, state.Upstreams[i]) {
 		return false
 	}
-	state.Upstreams[at] = u
+	state.Upstreams[i] = u
 	return true
 }
 
-// evictAddress removes older processes that had the address of u. It reports
-// false if the address belongs to a younger process, so that u is gone.
+// evictAddress removes the upstreams whose older processes had the address of u.
+// It reports false if a younger process has the address, so that the process
+// that announced u must have ended.
 func evictAddress(state *pb.SiteState, u *pb.SiteUpstream) bool {
 	for _, r := range slices.Clone(state.Upstreams) {
 		if r.Address != u.Address || r.Id == u.Id {
@@ -151,20 +154,23 @@
 	return len(state.Upstreams) != before
 }
 
-// editGroup replaces the record of a group by a copy that edit may change.
+// editGroup replaces the record of a group, or a new one if it has none, by a
+// copy that edit has changed.
 func editGroup(state *pb.SiteState, group string, edit func(*pb.SiteGroupState)) {
-	at := slices.IndexFunc(state.Groups, func(g *pb.SiteGroupState) bool { return g.Group == group })
-	if at < 0 {
-		at = len(state.Groups)
+	i := slices.IndexFunc(state.Groups, func(g *pb.SiteGroupState) bool { return g.Group == group })
+	if i < 0 {
+		i = len(state.Groups)
 		state.Groups = append(state.Groups, &pb.SiteGroupState{Group: group})
 	}
-	copied := proto.Clone(state.Groups[at]).(*pb.SiteGroupState)
+	copied := proto.Clone(state.Groups[i]).(*pb.SiteGroupState)
 	edit(copied)
-	state.Groups[at] = copied
+	state.Groups[i] = copied
 }
 
-// orderPrimary logs an order before it is given, so that its token, the index
-// of the entry, rises with each order whoever leads.
+// orderPrimary records a promotion order, which the leader logs before it sends
+// the order to the platform. The log index is the order's token, so that tokens
+// rise across leaders. An order is refused if it was made without knowledge of
+// the one before it.
 func orderPrimary(state *pb.SiteState, index uint64, c *pb.OrderPrimary) bool {
 	if Group(state, c.Group).GetOrder() != c.PreviousOrder {
 		return false
@@ -200,9 +206,11 @@
 }
 
 // Upstream returns the record of an upstream, or nil if there is none.
-func Upstream(state *pb.SiteState, id string) *pb.SiteUpstream { return find(state.Upstreams, id) }
+func Upstream(state *pb.SiteState, id string) *pb.SiteUpstream {
+	return findUpstream(state.Upstreams, id)
+}
 
-func find(upstreams []*pb.SiteUpstream, id string) *pb.SiteUpstream {
+func findUpstream(upstreams []*pb.SiteUpstream, id string) *pb.SiteUpstream {
 	for _, u := range upstreams {
 		if u.Id == id {
 			return u
--- a/site/state_test.go
+++ b/site/state_test.go
@@ -9,17 +9,18 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// log feeds a state as the consensus would.
-type log struct {
+// testLog applies commands to a state with rising indexes, as the consensus does.
+type testLog struct {
 	t     *testing.T
 	state *State
 	index uint64
 }
 
-func newLog(t *testing.T) *log { return &log{t: t, state: NewState()} }
+func newTestLog(t *testing.T) *testLog { return &testLog{t: t, state: NewState()} }
 
-// apply logs a command and reports whether it changed the state.
-func (l *log) apply(c *pb.SiteCommand) bool {
+// apply applies a command at the next index and reports whether it changed the
+// state.
+func (l *testLog) apply(c *pb.SiteCommand) bool {
 	l.t.Helper()
 	l.index++
 	command, err := proto.Marshal(c)
@@ -30,34 +31,35 @@
 	return result.Changed
 }
 
-func (l *log) store(version uint64, document string) bool {
+func (l *testLog) store(version uint64, document string) bool {
 	config := &pb.SiteConfig{Version: version}
 	return l.apply(&pb.SiteCommand{Command: &pb.SiteCommand_StoreConfig{
 		StoreConfig: &pb.StoreConfig{Config: config, Document: []byte(document)},
 	}})
 }
 
-func (l *log) record(id, address string, born int64, sequence uint64) bool {
+func (l *testLog) record(id, address string, born int64, sequence uint64) bool {
 	return l.apply(&pb.SiteCommand{Command: &pb.SiteCommand_RecordUpstream{
 		RecordUpstream: &pb.SiteUpstream{Id: id, Address: address, BornMs: born, Sequence: sequence},
 	}})
 }
 
-func (l *log) order(upstream string, previous uint64) bool {
+func (l *testLog) order(upstream string, previous uint64) bool {
 	return l.apply(&pb.SiteCommand{Command: &pb.SiteCommand_OrderPrimary{
 		OrderPrimary: &pb.OrderPrimary{Group: "g", Upstream: upstream, PreviousOrder: previous},
 	}})
 }
 
-func (l *log) current() *pb.SiteState {
+func (l *testLog) current() *pb.SiteState {
 	state, _, _ := l.state.Current()
 	return state
 }
 
-// Guards against two operators whose changes race: the later entry must not
-// take the place of a higher version, nor other content that of the same one.
+// Guards against configurations of two operators that are stored concurrently: a
+// later log entry must not replace a higher version, nor the same version with
+// other content.
 func TestOnlyAHigherVersionIsStored(t *testing.T) {
-	l := newLog(t)
+	l := newTestLog(t)
 	assert.Assert(t, l.store(0, "zero"), "the first configuration may have version 0")
 	assert.Assert(t, l.store(7, "seven"))
 	assert.Assert(t, !l.store(5, "five"))
@@ -65,10 +67,10 @@
 	assert.Equal(t, string(l.current().Document), "seven")
 }
 
-// Guards against an announcement that was held up and names a process that is
-// gone, at its own id or at an address that is used again.
+// Guards against a delayed announcement of a process that has ended, which would
+// replace a later process with the same id or at the same address.
 func TestLateAnnouncementsAreNotRecorded(t *testing.T) {
-	l := newLog(t)
+	l := newTestLog(t)
 	assert.Assert(t, l.record("a", "10.0.0.1:1", 100, 5))
 	assert.Assert(t, !l.record("a", "10.0.0.1:1", 100, 4))
 	assert.Assert(t, !l.record("a", "10.0.0.1:1", 90, 9))
@@ -78,10 +80,10 @@
 	assert.Assert(t, l.record("b", "10.0.0.1:1", 300, 1), "the same id again, with a new start")
 }
 
-// Guards against an upstream that is removed by the late removal message of the
-// process before it.
+// Guards against an upstream that is removed by a delayed removal of the process
+// that had the same id before.
 func TestOnlyTheNamedProcessIsRemoved(t *testing.T) {
-	l := newLog(t)
+	l := newTestLog(t)
 	l.record("a", "10.0.0.1:1", 200, 1)
 	remove := func(born int64) bool {
 		return l.apply(&pb.SiteCommand{Command: &pb.SiteCommand_RemoveUpstream{
@@ -92,9 +94,10 @@
 	assert.Assert(t, remove(200))
 }
 
-// Guards against two leaders that order different upstreams from the same state.
+// Guards against two leaders that order the promotion of different upstreams
+// from the same state.
 func TestOrdersFollowEachOther(t *testing.T) {
-	l := newLog(t)
+	l := newTestLog(t)
 	assert.Assert(t, l.order("a", 0))
 	first := Group(l.current(), "g").Order
 	assert.Assert(t, !l.order("b", 0), "an order from an old state")
@@ -106,10 +109,10 @@
 	assert.Assert(t, done.Primary == "b" && !done.OrderOpen)
 }
 
-// Guards against state that a snapshot leaves out, and against states handed out
-// that change later.
+// Guards against parts of the state that are missing from a snapshot, and against
+// returned states that change later.
 func TestSnapshotHoldsTheWholeState(t *testing.T) {
-	l := newLog(t)
+	l := newTestLog(t)
 	l.store(7, "seven")
 	l.record("a", "10.0.0.1:1", 100, 5)
 	l.order("a", 0)
--- a/sitecontrol/announce.go
+++ b/sitecontrol/announce.go
@@ -13,11 +13,12 @@
 	"lovageslip/site"
 )
 
-// announceTimeout bounds one announcement; its sender waits for a second.
+// announceTimeout bounds the handling of one announcement. It is shorter than
+// the second for which the sender waits for an answer.
 const announceTimeout = 900 * time.Millisecond
 
-// AnnounceUpstream records an announcement with the leader. It returns nil
-// once all that the announcement changes is committed.
+// AnnounceUpstream passes an upstream's announcement to the leading control
+// host. It returns nil once every change that results from it is committed.
 func (s *Server) AnnounceUpstream(ctx context.Context, u *pb.SiteUpstream) error {
 	return s.announce(ctx, u, false)
 }
@@ -25,15 +26,15 @@
 func (s *Server) announce(ctx context.Context, u *pb.SiteUpstream, ended bool) error {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	if _, leads := s.o.Consensus.Leadership(); leads {
+	if _, leads := s.options.Consensus.Leadership(); leads {
 		return s.handleAnnouncement(ctx, u, ended)
 	}
-	_, address, ok := s.o.Consensus.Leader()
-	if !ok || address == s.o.Address {
+	_, address, ok := s.options.Consensus.Leader()
+	if !ok || address == s.options.Address {
 		return noLeader()
 	}
 	request := &pb.AnnounceUpstreamRequest{Upstream: u, Ended: ended}
-	if _, err := s.clients.At(address).Announce(ctx, connect.NewRequest(request)); err != nil {
+	if _, err := s.clients.ForAddress(address).Announce(ctx, connect.NewRequest(request)); err != nil {
 		return &fault.IO{Op: "pass announcement to the leader", Err: err}
 	}
 	return nil
@@ -45,7 +46,7 @@
 
 // Announce implements SiteService.
 func (s *Server) Announce(ctx context.Context, r *connect.Request[pb.AnnounceUpstreamRequest]) (*connect.Response[pb.AnnounceUpstreamResponse], error) {
-	if _, leads := s.o.Consensus.Leadership(); !leads {
+	if _, leads := s.options.Consensus.Leadership(); !leads {
 		return nil, unavailable(noLeader())
 	}
 	if err := s.handleAnnouncement(ctx, r.Msg.Upstream, r.Msg.Ended); err != nil {
@@ -56,19 +57,19 @@
 
 func (s *Server) handleAnnouncement(ctx context.Context, u *pb.SiteUpstream, ended bool) error {
 	if ended {
-		return s.handleEnd(ctx, u.Id)
+		return s.handleRemoval(ctx, u.Id)
 	}
-	state, _, _ := s.o.State.Current()
+	state, _, _ := s.options.State.Current()
 	record := site.Upstream(state, u.Id)
-	if !s.noteAnnouncement(u, record) {
-		s.log.Debug("announcement is late and changes nothing", "upstream", u.Id, "sequence", u.Sequence)
+	if !s.acceptAnnouncement(u, record) {
+		s.log.Debug("announcement ignored: a newer one of the upstream is known", "upstream", u.Id, "sequence", u.Sequence)
 		return nil
 	}
 	if record != nil && sameUpstream(u, record) {
 		return nil
 	}
 	if err := s.recordUpstream(ctx, u); err != nil {
-		s.forget(u)
+		s.forgetAnnouncement(u)
 		return err
 	}
 	s.log.Info("upstream recorded", "upstream", u.Id, "group", u.Group, "address", u.Address,
@@ -81,40 +82,43 @@
 	return err
 }
 
-// noteAnnouncement reports whether the announcement is newer than all that
-// this host and the log have of the upstream.
-func (s *Server) noteAnnouncement(u, record *pb.SiteUpstream) bool {
+// acceptAnnouncement reports whether an announcement is newer than the last one
+// that this host received from the upstream and than the upstream's record in
+// the log. If so, it becomes the last one received.
+func (s *Server) acceptAnnouncement(u, record *pb.SiteUpstream) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last, ok := s.seen[u.Id]
+	last, ok := s.announcements[u.Id]
 	if ok && !site.Supersedes(u, last.upstream) {
 		return false
 	}
 	if record != nil && !site.Supersedes(u, record) {
 		return false
 	}
-	s.seen[u.Id] = announcement{upstream: u, at: now()}
+	s.announcements[u.Id] = announcement{upstream: u, receivedAt: now()}
 	return true
 }
 
-// forget lets the same announcement be sent again after it was not recorded.
-func (s *Server) forget(u *pb.SiteUpstream) {
+// forgetAnnouncement makes a retry of an announcement that could not be
+// committed count as new.
+func (s *Server) forgetAnnouncement(u *pb.SiteUpstream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.seen[u.Id].upstream == u {
-		delete(s.seen, u.Id)
+	if s.announcements[u.Id].upstream == u {
+		delete(s.announcements, u.Id)
 	}
 }
 
-// sameUpstream compares all but the sequence, which changes each time.
+// sameUpstream reports whether two announcements are equal, apart from the
+// sequence number, which rises with each announcement.
 func sameUpstream(a, b *pb.SiteUpstream) bool {
 	copied := proto.Clone(a).(*pb.SiteUpstream)
 	copied.Sequence = b.Sequence
 	return proto.Equal(copied, b)
 }
 
-func (s *Server) handleEnd(ctx context.Context, id string) error {
-	state, _, _ := s.o.State.Current()
+func (s *Server) handleRemoval(ctx context.Context, id string) error {
+	state, _, _ := s.options.State.Current()
 	record := site.Upstream(state, id)
 	if record == nil {
 		return nil
@@ -127,7 +131,8 @@
 	return err
 }
 
-// EndUpstream removes an upstream that ends by itself.
+// EndUpstream removes an upstream that has announced its own shutdown. Like
+// AnnounceUpstream, it returns nil once the change is committed.
 func (s *Server) EndUpstream(ctx context.Context, id string) error {
 	return s.announce(ctx, &pb.SiteUpstream{Id: id}, true)
 }
--- a/sitecontrol/host_test.go
+++ b/sitecontrol/host_test.go
@@ -18,20 +18,21 @@
 	"lovageslip/upstream"
 )
 
-// fakeUpstreams answers probes and promotions for all hosts of a test.
+// fakeUpstreams is the Prober and Promoter of all hosts of a test.
 type fakeUpstreams struct {
 	mu       sync.Mutex
-	primary  map[string]string // upstream by group
+	primary  map[string]string // upstream id by group
 	dead     map[string]bool
 	received map[string]upstream.Offset
 	term     upstream.Term
 	orders   []order
 	// steppedDown lists the upstreams that were asked to step down.
 	steppedDown []string
-	// lost is set if a promotion rolled commits back.
-	lost bool
-	// lose makes promotions be carried out without an answer.
-	lose bool
+	// commitsLost is set if an upstream was promoted that had not received all
+	// commits of the others that run.
+	commitsLost bool
+	// loseAnswers makes promotions take effect and return an error.
+	loseAnswers bool
 }
 
 type order struct {
@@ -85,10 +86,10 @@
 		f.term++
 	}
 	for other, offset := range f.received {
-		f.lost = f.lost || (other != id && !f.dead[other] && offset > f.received[id])
+		f.commitsLost = f.commitsLost || (other != id && !f.dead[other] && offset > f.received[id])
 	}
 	f.primary[group] = id
-	if f.lose {
+	if f.loseAnswers {
 		return &fault.IO{Op: "promote", Err: context.DeadlineExceeded}
 	}
 	return nil
@@ -100,13 +101,13 @@
 	change()
 }
 
-func (f *fakeUpstreams) given() []order {
+func (f *fakeUpstreams) receivedOrders() []order {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]order(nil), f.orders...)
 }
 
-// testHost is a control host with its own data folder.
+// testHost is a control host with its own data folder, served over HTTP.
 type testHost struct {
 	t       *testing.T
 	address string
@@ -155,8 +156,8 @@
 	}
 }
 
-// cluster starts control hosts that form a cluster.
-func cluster(t *testing.T, count int, fake *fakeUpstreams) []*testHost {
+// startCluster starts control hosts that are members of one consensus.
+func startCluster(t *testing.T, count int, fake *fakeUpstreams) []*testHost {
 	t.Helper()
 	var listeners []net.Listener
 	var initial []consensus.Member
@@ -190,7 +191,7 @@
 	t.Fatalf("timed out: %s", what)
 }
 
-func store(t *testing.T, h *testHost, version uint64, document string) {
+func storeConfig(t *testing.T, h *testHost, version uint64, document string) {
 	t.Helper()
 	config := &pb.SiteConfig{Version: version, Groups: []*pb.SiteGroup{{Name: "g", MaxConnections: 10}}}
 	waitFor(t, "configuration stored", func() bool {
@@ -200,7 +201,7 @@
 	})
 }
 
-func document(h *testHost) string {
+func readDocument(h *testHost) string {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	data, err := h.server.Document(ctx)
@@ -218,11 +219,11 @@
 }
 
 func primaryOf(h *testHost, group string) string {
-	state, _, _ := h.server.o.State.Current()
+	state, _, _ := h.server.options.State.Current()
 	return site.Group(state, group).GetPrimary()
 }
 
-// listenAt waits until an address is free again.
+// listenAt listens on an address as soon as it is free again.
 func listenAt(t *testing.T, address string) net.Listener {
 	t.Helper()
 	var l net.Listener
