--- a/proxy/allowance.go
+++ b/proxy/allowance.go
@@ -6,142 +6,150 @@
 )
 
 const (
-	// allowanceStart is how many statements a proxy sends to an upstream at
-	// a time before it has learned how many the upstream takes.
-	allowanceStart = 4
-	// allowanceMin is below one: where very many proxies share an upstream,
-	// one statement each is already too much.
-	allowanceMin = 0.25
-	// allowanceCut is the share that is left after a refusal. Proxies that
-	// share an upstream get to equal shares by small steps up and large
-	// ones down.
-	allowanceCut = 0.7
-	// allowanceRest is the least time between two cuts: refusals of
-	// statements that were under way together count once. It is a round
-	// trip between regions.
-	allowanceRest = 50 * time.Millisecond
+	// initialConcurrency is the limit for an upstream whose capacity the
+	// proxy has not learned yet.
+	initialConcurrency = 4
+	// minConcurrency is below one because one statement in flight from each
+	// proxy is already too much where very many proxies share an upstream.
+	minConcurrency = 0.25
+	// decreaseFactor multiplies the limit when it is lowered. Additive
+	// increase and multiplicative decrease lead proxies that share an
+	// upstream to equal limits.
+	decreaseFactor = 0.7
+	// minDecreaseInterval is the least time between two decreases, so that
+	// refusals of statements that were in flight together count once. It is
+	// the round-trip time between regions.
+	minDecreaseInterval = 50 * time.Millisecond
 )
 
-// allowance is how many statements a proxy may have at one upstream. The
-// upstream refuses what exceeds its queue, so many proxies that each send all
-// they have would spend their time on refusals; what waits at the proxy instead
-// can be put in order.
-type allowance struct {
-	limit float64
-	cutAt time.Time
+// concurrencyLimit bounds the statements that a proxy has in flight at one
+// upstream. An upstream refuses statements that exceed its queue, so without a
+// limit many proxies would spend their time on refusals. Statements that wait at
+// the proxy instead can be sent in the order of their urgency.
+type concurrencyLimit struct {
+	limit       float64
+	decreasedAt time.Time
 }
 
-func newAllowance() allowance { return allowance{limit: allowanceStart} }
+func newConcurrencyLimit() concurrencyLimit { return concurrencyLimit{limit: initialConcurrency} }
 
-// allows reports whether one more statement may be sent. Below one, the limit
-// stretches the pause after a refusal.
-func (a *allowance) allows(inFlight int, at time.Time) bool {
-	if a.limit >= 1 || inFlight > 0 {
-		return float64(inFlight+1) <= max(a.limit, 1)
+// allows reports whether one more statement may be sent. While the limit is
+// below one, statements are sent one at a time, and the pause after a decrease
+// is the longer the lower the limit is.
+func (l *concurrencyLimit) allows(inFlight int, at time.Time) bool {
+	if l.limit >= 1 || inFlight > 0 {
+		return float64(inFlight+1) <= max(l.limit, 1)
 	}
-	return at.Sub(a.cutAt) >= a.pause()
+	return at.Sub(l.decreasedAt) >= l.pauseAfterDecrease()
 }
 
-// pause is how long after a refusal the next statement may be sent.
-func (a *allowance) pause() time.Duration {
-	return time.Duration(float64(allowanceRest) / a.limit)
+// pauseAfterDecrease returns how long after a decrease the next statement may be
+// sent if the limit is below one.
+func (l *concurrencyLimit) pauseAfterDecrease() time.Duration {
+	return time.Duration(float64(minDecreaseInterval) / l.limit)
 }
 
-// succeeded raises the limit by one for each limit's worth of answers, if the
-// limit was reached.
-func (a *allowance) succeeded(inFlight int) {
-	if float64(inFlight+1) > a.limit {
-		a.limit += 1 / max(a.limit, 1)
+// onSuccess records the answer to a statement that ran. If the limit was
+// reached, it grows by 1/limit, so by about one when as many statements as the
+// limit allows have succeeded.
+func (l *concurrencyLimit) onSuccess(inFlight int) {
+	if float64(inFlight+1) > l.limit {
+		l.limit += 1 / max(l.limit, 1)
 	}
 }
 
-// delayed lowers the limit because statements wait in the upstream's queue. One
-// statement at a time is always sent: it may be the upstream that is slow.
-func (a *allowance) delayed(at time.Time) {
-	if a.limit <= 1 || at.Sub(a.cutAt) < allowanceRest {
+// onQueueDelay lowers the limit, to no less than one, because statements seem to
+// wait in the upstream's queue. One statement is always allowed because the
+// upstream may be slow without a queue.
+func (l *concurrencyLimit) onQueueDelay(at time.Time) {
+	if l.limit <= 1 || at.Sub(l.decreasedAt) < minDecreaseInterval {
 		return
 	}
-	a.cutAt = at
-	a.limit = max(a.limit*allowanceCut, 1)
+	l.decreasedAt = at
+	l.limit = max(l.limit*decreaseFactor, 1)
 }
 
-// refused lowers the limit.
-func (a *allowance) refused(at time.Time) {
-	if at.Sub(a.cutAt) < allowanceRest {
+// onRefusal lowers the limit because the upstream had no room for a statement.
+func (l *concurrencyLimit) onRefusal(at time.Time) {
+	if at.Sub(l.decreasedAt) < minDecreaseInterval {
 		return
 	}
-	a.cutAt = at
-	a.limit = max(a.limit*allowanceCut, allowanceMin)
+	l.decreasedAt = at
+	l.limit = max(l.limit*decreaseFactor, minConcurrency)
 }
 
-// ticket says how urgent a statement is.
-type ticket struct {
+// urgency decides in which order the statements that wait for an upstream are
+// sent.
+type urgency struct {
 	// arrivedAt is when the caller's operation began.
 	arrivedAt time.Time
-	// target is how long the caller wants to wait for all of it.
+	// target is the time in which the whole operation should end, as its
+	// route states it.
 	target time.Duration
-	// priority 0 is the highest.
+	// priority is that of the route; 0 is the highest.
 	priority uint32
-	// expected is how long statements of its route take.
+	// expected is the mean time that such operations take at upstreams.
 	expected time.Duration
 }
 
-// persistence multiplies the pause before a refused statement is sent again.
-// Where refusals come from an upstream that many proxies share, this is what
-// lets urgent statements of one proxy pass those of the others.
-func (t ticket) persistence(at time.Time) time.Duration {
-	if !t.fresh(at) {
-		return latePersistence
+// backoffFactor multiplies the pause before a refused statement is sent again.
+// An upstream that many proxies share picks among their statements by chance;
+// the shorter pauses let urgent statements of one proxy pass those of others.
+func (u urgency) backoffFactor(at time.Time) time.Duration {
+	if !u.canMeetTarget(at) {
+		return lateBackoffFactor
 	}
-	return 1 + time.Duration(min(t.priority, maxPriority))
+	return 1 + time.Duration(min(u.priority, maxPriority))
 }
 
 const (
-	latePersistence = 10
-	maxPriority     = 4
+	lateBackoffFactor = 10
+	maxPriority       = 4
 )
 
-// freshShare of its target is how long an operation may have waited and still
-// be expected to end in time. The rest is for its run and, in a transaction,
-// for the statements that follow.
-const freshShare = 0.6
+// maxWaitedShare is the share of its target that an operation may have waited
+// and still be expected to end within the target. The rest is for its run and,
+// in a transaction, for the statements that follow.
+const maxWaitedShare = 0.6
 
-func (t ticket) fresh(at time.Time) bool {
-	return t.target == math.MaxInt64 || float64(at.Sub(t.arrivedAt)) < freshShare*float64(t.target)
+func (u urgency) canMeetTarget(at time.Time) bool {
+	return u.target == math.MaxInt64 || float64(at.Sub(u.arrivedAt)) < maxWaitedShare*float64(u.target)
 }
 
-// nextTicket returns the index of the statement that goes next. Statements that
-// can still end in time go before late ones: serving late ones in their turn
-// would make all others late as well, until the backlog is gone. Among equals
-// the higher priority goes first, then what must end sooner, with an advantage
-// for shorter work, which makes fewer others wait; long work gains with the time
-// that it has waited.
-func nextTicket(tickets []ticket, at time.Time) int {
+// mostUrgent returns the index of the statement to send next. Operations that
+// can still end within their target go before late ones: if late ones were
+// served in the order of arrival, all others would become late as well, until
+// the backlog is gone. Then the higher priority goes first, and among equal
+// priorities the earlier due time. Short work is due earlier because it delays
+// fewer others; long work moves forward the longer it has waited.
+func mostUrgent(waiting []urgency, at time.Time) int {
 	best := 0
-	for i := 1; i < len(tickets); i++ {
-		if tickets[i].before(tickets[best], at) {
+	for i := 1; i < len(waiting); i++ {
+		if waiting[i].moreUrgentThan(waiting[best], at) {
 			best = i
 		}
 	}
 	return best
 }
 
-// lengthWeight is how long work may have waited less, per unit of its expected
-// time, and still go first.
-const lengthWeight = 8
+// expectedTimePenalty is how much later an operation is due per unit of its
+// expected time: work that takes 1 ms longer is ordered as if it had arrived 8 ms
+// later.
+const expectedTimePenalty = 8
 
-func (t ticket) before(other ticket, at time.Time) bool {
-	if t.fresh(at) != other.fresh(at) {
-		return t.fresh(at)
+func (u urgency) moreUrgentThan(other urgency, at time.Time) bool {
+	if u.canMeetTarget(at) != other.canMeetTarget(at) {
+		return u.canMeetTarget(at)
 	}
-	if t.priority != other.priority {
-		return t.priority < other.priority
+	if u.priority != other.priority {
+		return u.priority < other.priority
 	}
-	return t.due().Before(other.due())
+	return u.due().Before(other.due())
 }
 
-// due is when the statement should begin at the latest.
-func (t ticket) due() time.Time { return t.arrivedAt.Add(t.target + lengthWeight*t.expected) }
+// due returns the time by which operations of equal priority are ordered, the
+// earliest first.
+func (u urgency) due() time.Time { return u.arrivedAt.Add(u.target + expectedTimePenalty*u.expected) }
 
-// urgent is the ticket of what many statements wait for.
-func urgent() ticket { return ticket{target: math.MaxInt64} }
+// highestUrgency is for the proxy's own requests that many statements wait for.
+func highestUrgency() urgency { return urgency{target: math.MaxInt64} }
--- a/proxy/allowance_test.go
+++ b/proxy/allowance_test.go
@@ -9,28 +9,29 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// Pattern: demand over capacity. Guards against an order in which the backlog
-// makes everyone late: first come first served ends almost nothing in time.
-func TestOverloadServesThoseThatCanEndInTime(t *testing.T) {
-	inTime, fifo := overload(t, nextTicket), overload(t, func([]ticket, time.Time) int { return 0 })
-	t.Logf("ended in time: %d of 2000, first come first served %d", inTime, fifo)
+// Guards against an order in which, while demand exceeds capacity, the backlog
+// makes all operations late: in the order of arrival, almost none would end
+// within its target.
+func TestOverloadPrefersOperationsThatCanMeetTheirTarget(t *testing.T) {
+	inTime, fifo := overload(t, mostUrgent), overload(t, func([]urgency, time.Time) int { return 0 })
+	t.Logf("ended within the target: %d of 2000, in the order of arrival %d", inTime, fifo)
 	// Half of what arrives can be served.
-	assert.Assert(t, inTime >= 900, "only %d of 1000 possible", inTime)
-	assert.Assert(t, inTime >= 2*fifo, "%d is not better than %d", inTime, fifo)
+	assert.Assert(t, inTime >= 900, "%d of 1000 possible operations ended within the target", inTime)
+	assert.Assert(t, inTime >= 2*fifo, "%d operations ended within the target, %d in the order of arrival", inTime, fifo)
 }
 
-// overload sends 2000 operations at twice the rate that one place serves and
-// counts those that end within their target.
-func overload(t *testing.T, next func([]ticket, time.Time) int) int {
+// overload sends 2000 operations at twice the rate that one slot can serve, in
+// the order that next gives, and counts those that end within their target.
+func overload(t *testing.T, next func([]urgency, time.Time) int) int {
 	t.Helper()
 	const service, target = 20 * time.Millisecond, 500 * time.Millisecond
 	start := time.Unix(0, 0)
-	var waiting []ticket
+	var waiting []urgency
 	inTime, arrived := 0, 0
 	at := start
 	for arrived < 2000 || len(waiting) > 0 {
 		for arrived < 2000 && !start.Add(time.Duration(arrived)*service/2).After(at) {
-			waiting = append(waiting, ticket{arrivedAt: start.Add(time.Duration(arrived) * service / 2), target: target})
+			waiting = append(waiting, urgency{arrivedAt: start.Add(time.Duration(arrived) * service / 2), target: target})
 			arrived++
 		}
 		if len(waiting) == 0 {
@@ -48,100 +49,105 @@
 	return inTime
 }
 
-// Pattern: two classes with unequal priority and long work before short.
+// Guards against a wrong order of waiting statements whose routes differ in
+// priority, in the time that they have waited and in their expected time.
 func TestOrderOfWaitingStatements(t *testing.T) {
 	at := time.Unix(100, 0)
 	ago := func(d time.Duration) time.Time { return at.Add(-d) }
-	old := ticket{arrivedAt: ago(time.Second), target: time.Second, priority: 1}
-	long := ticket{arrivedAt: ago(100 * time.Millisecond), target: time.Second, priority: 2, expected: 60 * time.Millisecond}
-	short := ticket{arrivedAt: ago(50 * time.Millisecond), target: time.Second, priority: 2, expected: 10 * time.Millisecond}
-	high := ticket{arrivedAt: at, target: time.Second, priority: 1, expected: 60 * time.Millisecond}
-	assert.Equal(t, nextTicket([]ticket{old, long, short, high}, at), 3, "priority first")
-	assert.Equal(t, nextTicket([]ticket{old, long, short}, at), 2, "short work before long work")
-	assert.Equal(t, nextTicket([]ticket{old, long}, at), 1, "late work last")
+	old := urgency{arrivedAt: ago(time.Second), target: time.Second, priority: 1}
+	long := urgency{arrivedAt: ago(100 * time.Millisecond), target: time.Second, priority: 2, expected: 60 * time.Millisecond}
+	short := urgency{arrivedAt: ago(50 * time.Millisecond), target: time.Second, priority: 2, expected: 10 * time.Millisecond}
+	high := urgency{arrivedAt: at, target: time.Second, priority: 1, expected: 60 * time.Millisecond}
+	assert.Equal(t, mostUrgent([]urgency{old, long, short, high}, at), 3, "priority first")
+	assert.Equal(t, mostUrgent([]urgency{old, long, short}, at), 2, "short work before long work")
+	assert.Equal(t, mostUrgent([]urgency{old, long}, at), 1, "late work last")
 	waited := long
 	waited.arrivedAt = ago(550 * time.Millisecond)
-	assert.Equal(t, nextTicket([]ticket{old, waited, short}, at), 1, "long work gains by waiting")
+	assert.Equal(t, mostUrgent([]urgency{old, waited, short}, at), 1, "long work gains by waiting")
 }
 
-// Pattern: many proxies before one upstream. Guards against refusals that take
-// the place of work.
-func TestAllowanceSettlesBelowRefusals(t *testing.T) {
-	a := newAllowance()
+// Guards against many proxies at one upstream whose statements are mostly
+// refused, because the concurrency limits do not fall to what the upstream can
+// take.
+func TestConcurrencyLimitFallsUntilFewAreRefused(t *testing.T) {
+	concurrency := newConcurrencyLimit()
 	at := time.Unix(0, 0)
 	refused := 0
 	const room = 2
 	for range 1000 {
 		at = at.Add(10 * time.Millisecond)
-		sent := int(a.limit)
+		sent := int(concurrency.limit)
 		if sent > room {
 			refused += sent - room
-			a.refused(at)
+			concurrency.onRefusal(at)
 		}
 		for range min(sent, room) {
-			a.succeeded(sent - 1)
+			concurrency.onSuccess(sent - 1)
 		}
 	}
-	assert.Assert(t, refused < 500, "%d refusals beside 2000 served", refused)
-	assert.Assert(t, a.limit >= allowanceMin)
+	assert.Assert(t, refused < 500, "%d refusals for 2000 statements that ran", refused)
+	assert.Assert(t, concurrency.limit >= minConcurrency)
 }
 
-// Pattern: far more proxies than an upstream has room for, each with work that
-// is late or less urgent. Guards against urgent work that loses to the mere
-// number of the others: where the upstream picks at random, what asks more often
-// is served more often.
-func TestUrgentWorkAsksMoreOften(t *testing.T) {
+// Guards against urgent statements that lose to many less urgent or late ones
+// of other proxies. An upstream that far too many proxies share picks by
+// chance, so statements that are sent again sooner are served more often.
+func TestUrgentStatementsAreRetriedSooner(t *testing.T) {
 	at := time.Unix(100, 0)
-	urgent := ticket{arrivedAt: at, target: time.Second, priority: 1}
-	plain := ticket{arrivedAt: at, target: time.Second, priority: 2}
-	late := ticket{arrivedAt: at.Add(-time.Second), target: time.Second, priority: 1}
-	assert.Assert(t, urgent.persistence(at) < plain.persistence(at))
-	assert.Assert(t, 3*plain.persistence(at) <= late.persistence(at))
+	urgent := urgency{arrivedAt: at, target: time.Second, priority: 1}
+	plain := urgency{arrivedAt: at, target: time.Second, priority: 2}
+	late := urgency{arrivedAt: at.Add(-time.Second), target: time.Second, priority: 1}
+	assert.Assert(t, urgent.backoffFactor(at) < plain.backoffFactor(at))
+	assert.Assert(t, 3*plain.backoffFactor(at) <= late.backoffFactor(at))
 }
 
-// Pattern: a hundred proxies before five slots.
-func TestAllowanceBelowOneStretchesThePause(t *testing.T) {
-	a := newAllowance()
+// Guards against a hundred proxies that each keep one statement at an upstream
+// with five slots: below one, the limit must lengthen the pause between
+// statements.
+func TestConcurrencyLimitBelowOneLengthensThePause(t *testing.T) {
+	concurrency := newConcurrencyLimit()
 	at := time.Unix(100, 0)
 	for range 40 {
-		at = at.Add(allowanceRest)
-		a.refused(at)
+		at = at.Add(minDecreaseInterval)
+		concurrency.onRefusal(at)
 	}
-	assert.Equal(t, a.limit, float64(allowanceMin))
-	assert.Assert(t, !a.allows(0, at.Add(allowanceRest)))
-	assert.Assert(t, a.allows(0, at.Add(allowanceRest*4)))
-	a.succeeded(0)
-	assert.Assert(t, a.allows(0, at), "one answer shows that there is room")
+	assert.Equal(t, concurrency.limit, float64(minConcurrency))
+	assert.Assert(t, !concurrency.allows(0, at.Add(minDecreaseInterval)))
+	assert.Assert(t, concurrency.allows(0, at.Add(minDecreaseInterval*4)))
+	concurrency.onSuccess(0)
+	assert.Assert(t, concurrency.allows(0, at), "one success must end the pause")
 }
 
-// Pattern: a wave over capacity at an upstream with a long queue. Guards against
-// a queue that is kept full at the upstream, where urgent work cannot pass: each
-// statement of a transaction then waits for all of it.
+// Guards against a full queue at the upstream while demand exceeds capacity.
+// Urgent statements can't pass others there, and each statement of a
+// transaction would wait for the whole queue.
 func TestQueueAtTheUpstreamStaysShort(t *testing.T) {
-	pl := newPool(nil, &pb.SiteUpstream{Id: "u"}, share{limit: 40, idle: idleLimit})
-	pl.answered(2 * time.Millisecond)
+	pl := newPool(nil, &pb.SiteUpstream{Id: "u"}, connectionQuota{limit: 40, idleTimeout: idleTimeout})
+	pl.recordAnswer(2 * time.Millisecond)
 	const slots, service = 3, 20 * time.Millisecond
 	longest := 0
 	for range 500 {
-		pl.inFlight = int(pl.allowance.limit) // there is always more to send
+		pl.inFlight = int(pl.concurrency.limit) // statements always wait to be sent
 		queued := max(pl.inFlight-slots, 0)
 		longest = max(longest, queued)
 		took := service + time.Duration(queued)*service/slots
-		pl.succeeded(took)
-		pl.allowance.cutAt = time.Time{} // answers come further apart than cuts may
+		pl.recordRun(took)
+		pl.concurrency.decreasedAt = time.Time{} // answers come further apart than minDecreaseInterval
 	}
-	// The tolerated wait is that of 40 ms / 20 ms * 3 slots = 6 statements.
-	assert.Assert(t, longest <= 20, "%d statements in the queue", longest)
-	assert.Assert(t, pl.allowance.limit >= slots, "a limit of %.1f leaves slots empty", pl.allowance.limit)
+	// A queue delay of 40 ms is that of 40 ms / 20 ms * 3 slots = 6
+	// statements.
+	assert.Assert(t, longest <= 20, "%d statements in the queue of the upstream", longest)
+	assert.Assert(t, pl.concurrency.limit >= slots, "a limit of %.1f leaves slots empty", pl.concurrency.limit)
 }
 
-// Guards against an upstream that is slow and gets no work at all any more.
+// Guards against a slow upstream that gets no statements any more because its
+// answers look like those of one with a long queue.
 func TestSlowUpstreamStillGetsWork(t *testing.T) {
-	a := newAllowance()
+	concurrency := newConcurrencyLimit()
 	at := time.Unix(100, 0)
 	for range 40 {
-		at = at.Add(allowanceRest)
-		a.delayed(at)
+		at = at.Add(minDecreaseInterval)
+		concurrency.onQueueDelay(at)
 	}
-	assert.Equal(t, a.limit, 1.0)
+	assert.Equal(t, concurrency.limit, 1.0)
 }
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -15,39 +15,40 @@
 )
 
 const (
-	// holdLimit is how long a statement waits for an upstream that can run
-	// it. A change of primary takes about 1.5 s: 0.7 s until the loss is
-	// certain and 0.6 s for the promotion.
-	holdLimit = 3 * time.Second
-	// busyPause and noPrimaryPause are the mean pauses before another try.
-	busyPause      = 30 * time.Millisecond
-	noPrimaryPause = 50 * time.Millisecond
-	// maxReruns bounds how often a read that ran and failed runs again.
+	// maxRetryDuration is how long a statement is retried until an upstream
+	// can run it. It covers a change of primary, which takes about 1.5 s:
+	// 0.7 s until the loss is certain and 0.6 s for the promotion.
+	maxRetryDuration = 3 * time.Second
+	// busyBackoff and noPrimaryBackoff are the mean pauses before the next
+	// attempt.
+	busyBackoff      = 30 * time.Millisecond
+	noPrimaryBackoff = 50 * time.Millisecond
+	// maxReruns bounds how often a read that ran and failed is run again.
 	maxReruns = 2
-	// patienceMin is the least time that a read is given at one upstream.
-	patienceMin = 300 * time.Millisecond
-	// patienceFactor times the expected time is how long a read is given
-	// before another upstream is asked; few statements take as long.
-	patienceFactor = 8
+	// minReadTimeout is the least time that a read is given at one upstream.
+	minReadTimeout = 300 * time.Millisecond
+	// readTimeoutFactor times the expected time is how long a read is given
+	// at one upstream before another is tried; few statements take as long.
+	readTimeoutFactor = 8
 )
 
-// attempt is the outcome of one try of a statement.
+// attempt is the outcome of one attempt to run a statement.
 type attempt struct {
-	// done is set if reply is final.
+	// done is set if reply is the final answer to the caller.
 	done  bool
 	reply Reply
-	// reason and wait say why and when the statement is tried again. A
-	// reason is given only where the try cannot have taken effect, or has
-	// only read.
+	// reason and wait say why and after what pause the statement is tried
+	// again. They are set only if the attempt cannot have taken effect or
+	// has only read.
 	reason fault.Reason
 	wait   time.Duration
-	// upstream and after are where it was tried and what the upstream had
-	// to hold, for logs.
+	// upstream is the id of the upstream that was tried and after the
+	// position that it had to hold; both are for logs.
 	upstream string
 	after    upstream.Position
 }
 
-// Reasons to try again that this package adds to those of package fault.
+// Reasons for another attempt, beside those that package fault defines.
 const (
 	reasonBusy           fault.Reason = "upstream_busy"
 	reasonNoPrimary      fault.Reason = "no_primary"
@@ -65,118 +66,122 @@
 	return attempt{reason: reason, wait: wait}
 }
 
-// jitter spreads a pause over half to one and a half of its mean.
+// jitter returns a random pause between half and one and a half times the mean.
 func jitter(mean time.Duration) time.Duration { return mean/2 + rand.N(mean) }
 
-// busyWait is the pause before a statement that met a busy upstream is tried
-// again. Only a crowded upstream needs the order that longer pauses bring;
-// elsewhere they would leave its slots empty.
-func (s *Session) busyWait(pl *pool) time.Duration {
+// busyRetryDelay returns the pause before a statement that a busy upstream
+// refused is tried again. Less urgent statements pause longer only if the
+// upstream is saturated; otherwise long pauses would leave its slots empty.
+func (s *Session) busyRetryDelay(pl *pool) time.Duration {
 	route, ok := s.proxy.View().Route(s.database)
-	if !ok || !pl.crowded() {
-		return jitter(busyPause)
+	if !ok || !pl.saturated() {
+		return jitter(busyBackoff)
 	}
-	return jitter(busyPause * s.ticket(route).persistence(now()))
+	return jitter(busyBackoff * s.urgency(route).backoffFactor(now()))
 }
 
-// repeat tries until an attempt is final or holdLimit has passed. The refusal
-// is true: no attempt that asks for another has taken effect.
-func (s *Session) repeat(ctx context.Context, st *Statement, try func() attempt) Reply {
-	giveUp := now().Add(holdLimit)
+// retryUntilFinal makes attempts until one is final, maxRetryDuration would be
+// exceeded or ctx ends. In the last two cases it refuses the statement as not
+// run, which holds because no attempt that is retried has taken effect.
+func (s *Session) retryUntilFinal(ctx context.Context, st *Statement, try func() attempt) Reply {
+	deadline := now().Add(maxRetryDuration)
 	for n := 0; ; n++ {
 		a := try()
 		if a.done {
 			return a.reply
 		}
 		metrics.Retried(s.proxy.metrics, s.database, a.reason)
-		s.proxy.log.Info("statement tried again", "request", st.ID, "database", s.database, "attempt", n+1,
+		s.proxy.log.Info("proxy retries a statement", "request", st.ID, "database", s.database, "attempt", n+1,
 			"reason", a.reason, "upstream", a.upstream, "after", a.after, "wait", a.wait, "view", s.proxy.View().Index)
-		if now().Add(a.wait).After(giveUp) {
-			return s.giveUp(a.reason)
+		if now().Add(a.wait).After(deadline) {
+			return s.refuseWithRetry(a.reason)
 		}
 		if ctx.Err() != nil || (a.wait > 0 && !pause.For(ctx, a.wait)) {
-			return s.giveUp(fault.ReasonShutdown)
+			return s.refuseWithRetry(fault.ReasonShutdown)
 		}
 	}
 }
 
-// retryAfterMean is the mean time after which a refused caller should return:
-// about half a change of primary, so that a returning crowd is spread.
+// retryAfterMean is the mean time after which a refused caller should try again.
+// It is about half the time of a change of primary, so that the callers who were
+// refused during one don't all return at once.
 const retryAfterMean = 400 * time.Millisecond
 
-func (s *Session) giveUp(reason fault.Reason) Reply {
+func (s *Session) refuseWithRetry(reason fault.Reason) Reply {
 	return Reply{Refusal: &Refusal{Code: RefusedBusy, Reason: string(reason), RetryAfter: jitter(retryAfterMean)}}
 }
 
-func unknown(reason fault.Reason) Reply {
+func outcomeUnknown(reason fault.Reason) Reply {
 	return Reply{Refusal: &Refusal{Code: RefusedUnknown, Reason: string(reason)}}
 }
 
 func aborted(reason fault.Reason) Reply {
-	return Reply{Refusal: &Refusal{Code: RefusedAborted, Reason: string(reason), RetryAfter: jitter(busyPause)}}
+	return Reply{Refusal: &Refusal{Code: RefusedAborted, Reason: string(reason), RetryAfter: jitter(busyBackoff)}}
 }
 
-// notAcquired maps an error of pool.acquire; nothing has run.
-func notAcquired(err error) attempt {
+// acquireFailed maps an error of pool.acquire to a retry. Nothing has run.
+func acquireFailed(err error) attempt {
 	var refused *DialRefused
 	if errors.As(err, &refused) {
-		return retry(reasonBusy, jitter(busyPause))
+		return retry(reasonBusy, jitter(busyBackoff))
 	}
 	var refusal *Refusal
 	if errors.As(err, &refusal) {
-		return retry(fault.Reason(refusal.Reason), jitter(busyPause))
+		return retry(fault.Reason(refusal.Reason), jitter(busyBackoff))
 	}
-	return retry(fault.ReasonUpstreamUnavailable, jitter(busyPause))
+	return retry(fault.ReasonUpstreamUnavailable, jitter(busyBackoff))
 }
 
-// notRun handles an answer that promises that nothing ran, and returns the
-// connection.
+// notRun handles an answer that promises that the statement did not run: it puts
+// the connection back into its pool and returns the retry that the answer calls
+// for.
 func (s *Session) notRun(c *conn, a Answer) attempt {
-	s.proxy.finish(c, a)
-	failed := s.refusedBy(c, a)
+	s.proxy.returnConn(c, a)
+	failed := s.retryRefused(c, a)
 	failed.upstream = c.pool.id()
 	return failed
 }
 
-func (s *Session) refusedBy(c *conn, a Answer) attempt {
+func (s *Session) retryRefused(c *conn, a Answer) attempt {
 	switch a.Code {
 	case CodeBusy:
-		c.pool.busy(busyPause)
-		return retry(reasonBusy, s.busyWait(c.pool))
+		c.pool.recordBusy(busyBackoff)
+		return retry(reasonBusy, s.busyRetryDelay(c.pool))
 	case CodeLagging:
-		c.pool.lagging(a.Position)
+		c.pool.recordLagging(a.Position)
 		return retry(fault.ReasonStale, 0)
 	case CodeReadOnly:
-		return retry(fault.ReasonNotPrimary, jitter(noPrimaryPause))
+		return retry(fault.ReasonNotPrimary, jitter(noPrimaryBackoff))
 	default:
-		return retry(reasonLostStatement, jitter(busyPause))
+		return retry(reasonLostStatement, jitter(busyBackoff))
 	}
 }
 
-// patience is how long a read is given at one upstream.
-func patience(pl *pool, route *pb.SiteRoute) time.Duration {
-	expected := patienceFactor * pl.estimate(upstream.Position{}).wait
-	return min(max(expected, patienceMin), timeout(route))
+// readTimeout returns how long a read is given at one upstream.
+func readTimeout(pl *pool, route *pb.SiteRoute) time.Duration {
+	expected := readTimeoutFactor * pl.estimate(upstream.Position{}).wait
+	return min(max(expected, minReadTimeout), timeout(route))
 }
 
 func (p *Proxy) countRefusal(r *Refusal) {
 	p.metrics.Tagged(map[string]string{"reason": r.Reason}).Counter("refused_total").Inc(1)
 }
 
-// served notes a statement that an upstream has run.
-func (s *Session) served(st *Statement, c *conn, took time.Duration, a Answer) {
+// recordServed records the metrics, the mean time and the log line of a statement
+// that an upstream has run.
+func (s *Session) recordServed(st *Statement, c *conn, took time.Duration, a Answer) {
 	s.proxy.metrics.Timer("statement_seconds").Record(took)
 	switch {
 	case s.tx == nil:
-		s.proxy.times.add(s.workKind(), took)
+		s.proxy.times.add(s.operationKind(), took)
 	case st.Kind == KindCommit:
-		s.proxy.times.add(s.workKind(), s.tx.took+took)
+		s.proxy.times.add(s.operationKind(), s.tx.upstreamTime+took)
 	default:
-		s.tx.took += took
+		s.tx.upstreamTime += took
 	}
-	// Typed attributes need no allocation each; this is the line that is
-	// written most.
+	// This is the line that is logged most often; typed attributes avoid an
+	// allocation for each value.
 	s.proxy.log.LogAttrs(context.Background(), slog.LevelInfo, "statement served",
 		slog.String("request", st.ID), slog.String("database", s.database), slog.String("upstream", c.pool.id()),
-		slog.Duration("took", took), slog.Any("position", a.Position), slog.Duration("since_begin", now().Sub(s.begunAt)))
+		slog.Duration("took", took), slog.Any("position", a.Position), slog.Duration("since_begin", now().Sub(s.operationStart)))
 }
--- a/proxy/choose.go
+++ b/proxy/choose.go
@@ -9,12 +9,12 @@
 	"lovageslip/upstream"
 )
 
-// primaryPenalty multiplies the expected wait at a primary for reads that a
-// replica can serve, because writes can go nowhere else.
+// primaryPenalty multiplies the expected wait at the primary for reads that a
+// replica can serve, because writes can run at the primary only.
 const primaryPenalty = 1.5
 
 // remotePenalty is added to the expected wait at an upstream in another data
-// centre: its answers cross links that are shared and charged.
+// centre, because its answers cross links that are shared and charged.
 const remotePenalty = 10 * time.Millisecond
 
 // candidate is an upstream that may serve a read.
@@ -24,10 +24,11 @@
 	primary  bool
 }
 
-// chooseForRead returns the upstream with the least expected wait. An upstream
-// that has just failed is chosen only if excluded leaves no other, and one that
-// is likely to lack the position is not. An upstream that is leaving gets no read unless all are leaving: it
-// may end at any time, and others that refuse now will soon have room.
+// chooseForRead returns the upstream with the least expected wait for a read that
+// needs the position after. An upstream that has just failed is chosen only if
+// excluded leaves no other, and one that is likely to lack the position is never
+// chosen. An upstream that is leaving gets no read unless all are leaving: it may
+// end at any time, and others that refuse now will soon have room.
 func (p *Proxy) chooseForRead(g *site.GroupView, after upstream.Position, excluded map[string]bool) (candidate, bool) {
 	var best candidate
 	var bestWait time.Duration
@@ -52,12 +53,13 @@
 	return best, best.pool != nil
 }
 
-// backoffPenalty is added for an upstream that has just failed or refused; it
-// outweighs any expected wait.
+// backoffPenalty is added to the expected wait at an upstream that has just
+// failed or refused a statement; it outweighs any expected wait.
 const backoffPenalty = 20 * time.Second
 
-// expectedWait reports false if the upstream lacked a position a moment ago, so
-// that asking it again would only cost time. A primary lacks none.
+// expectedWait returns the expected wait at an upstream with its penalties. It
+// reports false for a replica that lately lacked the position and so would
+// probably refuse the read. The primary holds every position.
 func (p *Proxy) expectedWait(c candidate, after upstream.Position) (time.Duration, bool) {
 	e := c.pool.estimate(after)
 	if e.behind && !c.primary {
@@ -67,10 +69,10 @@
 	if c.primary {
 		wait = time.Duration(float64(wait) * primaryPenalty)
 	}
-	if c.upstream.DataCentre != p.o.DataCentre {
+	if c.upstream.DataCentre != p.options.DataCentre {
 		wait += remotePenalty
 	}
-	if e.backsOff {
+	if e.backingOff {
 		wait += backoffPenalty
 	}
 	return wait, true
--- a/proxy/choose_test.go
+++ b/proxy/choose_test.go
@@ -9,8 +9,9 @@
 	"lovageslip/upstream"
 )
 
-// Guards against new work for an upstream that is leaving while the others
-// back off after refusals: it reached one 7 s after the leave was acknowledged.
+// Guards against reads at a leaving upstream while the proxy backs off from the
+// others after refusals: a read reached one 7 s after its leave had been
+// acknowledged.
 func TestLeavingUpstreamGetsNoReadsWhileOthersBackOff(t *testing.T) {
 	f := newFixture(t)
 	f.parts.Upstreams[1].Leaving = true
@@ -18,7 +19,7 @@
 	view, _ := f.proxy.View().Group("g")
 	for _, u := range view.Upstreams {
 		if pl, ok := f.proxy.pool(u); ok && !u.Leaving {
-			pl.busy(backoffMax)
+			pl.recordBusy(backoffMax)
 		}
 	}
 	c, ok := f.proxy.chooseForRead(view, upstream.Position{}, map[string]bool{})
@@ -29,15 +30,15 @@
 	assert.Assert(t, !ok, "the leaving upstream was chosen as the last one")
 }
 
-// Guards against a replica that is left alone by reads which it could serve,
-// because another read needed newer data than it has.
-func TestReplicaThatLagsServesOlderReads(t *testing.T) {
+// Guards against a replica that gets no reads at all, even such as it could
+// serve, because one read needed a newer position than the replica holds.
+func TestLaggingReplicaServesReadsOfOlderPositions(t *testing.T) {
 	f := newFixture(t)
 	view, _ := f.proxy.View().Group("g")
 	at := func(offset upstream.Offset) upstream.Position { return upstream.Position{Term: 3, Offset: offset} }
 	for _, u := range f.parts.Upstreams[1:] {
 		pl, _ := f.proxy.pool(u)
-		pl.lagging(at(90))
+		pl.recordLagging(at(90))
 	}
 	c, _ := f.proxy.chooseForRead(view, at(95), map[string]bool{})
 	assert.Equal(t, c.upstream.Id, "p1")
--- a/proxy/clock.go
+++ b/proxy/clock.go
@@ -6,15 +6,16 @@
 	"lovageslip/bootclock"
 )
 
-// now is the clock of this package. The model of the served systems replaces it
-// with virtual time.
+// now is the clock of this package. The load model in the tests replaces it with
+// virtual time.
 var now = bootclock.Now
 
 func since(t time.Time) time.Duration { return now().Sub(t) }
 
-// wanted reports whether a read needed a sample of the group lately.
-func wanted(g *group) bool {
-	return now().UnixNano()-g.wantedAt.Load() < int64(samplesWanted)
+// inDemand reports whether a read has needed a position sample of the group
+// within the last sampleDemandWindow.
+func inDemand(g *group) bool {
+	return now().UnixNano()-g.lastDemandAt.Load() < int64(sampleDemandWindow)
 }
 
-func (g *group) want() { g.wantedAt.Store(now().UnixNano()) }
+func (g *group) recordDemand() { g.lastDemandAt.Store(now().UnixNano()) }
--- a/proxy/experiment_test.go
+++ b/proxy/experiment_test.go
@@ -18,12 +18,14 @@
 
 var experimentOut = flag.String("experiment.out", "", "directory to write the table and the plot of the experiment to")
 
-// experimentPolicies are compared, the chosen one first.
+// experimentPolicies are the policies that TestExperiment compares, the proxy's
+// own first.
 var experimentPolicies = []policy{policyChosen, policyArrival, policyPrimary, policyFixed}
 
-// TestExperiment plays each pattern with the chosen policy and with simpler ones,
-// and checks that the chosen one earns the most over all of them. With
-// -experiment.out it writes docs/notes/load.md and its plot again.
+// TestExperiment runs the load model for each pattern with the proxy's own
+// policy and with simpler ones, and checks that the former earns the most in
+// total. With -experiment.out it also writes the table and the plot of
+// docs/notes/load.md.
 func TestExperiment(t *testing.T) {
 	begun, operations := time.Now(), 0
 	sums := map[policy]float64{}
@@ -35,7 +37,7 @@
 		fmt.Fprintf(&rows, "| %s |", p.name)
 		var chosen *modelResult
 		for _, policy := range experimentPolicies {
-			r := play(t, policy, p.length, p.arrange)
+			r := runModel(t, policy, p.length, p.arrange)
 			operations += len(r.operations)
 			share := r.worth() / p.bound(r)
 			sums[policy] += share
@@ -45,13 +47,13 @@
 				chosen = r
 			}
 		}
-		fmt.Fprintf(&rows, " %.3f | %.3f | %.3f | %.2f | %s |\n", p.bound(chosen), worst(chosen.earned, chosen.owed),
-			worst(chosen.centreEarned, chosen.centreOwed)/chosen.worth(), p.amplified(chosen), p.lateness(chosen))
+		fmt.Fprintf(&rows, " %.3f | %.3f | %.3f | %.2f | %s |\n", p.bound(chosen), worst(chosen.earned, chosen.possible),
+			worst(chosen.centreEarned, chosen.centrePossible)/chosen.worth(), p.amplification(chosen), p.lateness(chosen))
 	}
 	rate := float64(operations) / time.Since(begun).Seconds()
 	t.Logf("%d operations, %.0f a second of wall time", operations, rate)
 	for _, policy := range experimentPolicies[1:] {
-		assert.Check(t, sums[policyChosen] > sums[policy], "%s earns more", policyNames[policy])
+		assert.Check(t, sums[policyChosen] > sums[policy], "%s earns at least as much", policyNames[policy])
 	}
 	if *experimentOut != "" {
 		writeTable(t, rows.Bytes())
--- a/proxy/fake_test.go
+++ b/proxy/fake_test.go
@@ -12,8 +12,8 @@
 	"lovageslip/upstream"
 )
 
-// fakeGroup is a group of upstreams in memory: one log, replicas that follow
-// when told to, and failures on demand.
+// fakeGroup is a group of upstreams in memory. Replicas catch up when replicate
+// is called, and each upstream can be made to fail.
 type fakeGroup struct {
 	mu        sync.Mutex
 	upstreams map[string]*fakeUpstream
@@ -25,26 +25,26 @@
 	id       string
 	primary  bool
 	term     upstream.Term
-	held     upstream.Offset
+	offset   upstream.Offset
 	dead     bool
 	busy     int                   // refuses that many statements
 	loseNext bool                  // runs the next statement and loses its answer
 	failNext int                   // runs and fails that many statements
-	gate     chan struct{}         // statements wait for it if set
+	gate     chan struct{}         // statements wait until it is closed, if set
 	ran      []string              // ids of statements that ran
 	open     int                   // connections
 	dials    int                   // connections ever opened
 	values   []map[string]string   // session values of each read and write
-	onBegin  func(u *fakeUpstream) // called behind each BEGIN
+	onBegin  func(u *fakeUpstream) // called after each BEGIN
 }
 
 type fakeConn struct {
-	u      *fakeUpstream
-	state  TransactionState
-	plain  bool
-	wrote  bool
-	values map[string]string
-	names  map[string]string
+	u           *fakeUpstream
+	state       TransactionState
+	primaryOnly bool
+	wrote       bool
+	values      map[string]string
+	prepared    map[string]string
 }
 
 func (g *fakeGroup) Dial(_ context.Context, record *pb.SiteUpstream) (Conn, error) {
@@ -56,7 +56,7 @@
 	}
 	u.open++
 	u.dials++
-	return &fakeConn{u: u, state: StateIdle, values: map[string]string{}, names: map[string]string{}}, nil
+	return &fakeConn{u: u, state: StateIdle, values: map[string]string{}, prepared: map[string]string{}}, nil
 }
 
 func (c *fakeConn) Alive() bool {
@@ -109,7 +109,7 @@
 	if lost {
 		u.loseNext = false
 	}
-	a := Answer{Code: code, State: c.state, Position: upstream.Position{Term: u.term, Offset: u.held}}
+	a := Answer{Code: code, State: c.state, Position: upstream.Position{Term: u.term, Offset: u.offset}}
 	a.Body = []byte("COMPLETE " + u.id)
 	return a, lost
 }
@@ -117,14 +117,14 @@
 func (c *fakeConn) apply(command Command) Code {
 	u := c.u
 	zero := upstream.Position{}
-	held := upstream.Position{Term: u.term, Offset: u.held}
+	held := upstream.Position{Term: u.term, Offset: u.offset}
 	switch command.Kind {
 	case CommandBegin:
 		if !u.primary {
 			c.state = StateFailed
 			return CodeReadOnly
 		}
-		c.state, c.plain, c.wrote = StateOpen, true, false
+		c.state, c.primaryOnly, c.wrote = StateOpen, true, false
 		if u.onBegin != nil {
 			u.onBegin(u)
 		}
@@ -133,16 +133,16 @@
 			c.state = StateFailed
 			return CodeLagging
 		}
-		c.state, c.plain = StateOpen, false
+		c.state, c.primaryOnly = StateOpen, false
 	case CommandRollback:
 		c.state = StateIdle
 	case CommandReset:
 		clear(c.values)
-		clear(c.names)
+		clear(c.prepared)
 	case CommandSet:
 		c.values[command.Name] = command.Value
 	case CommandPrepare:
-		c.names[command.Name] = command.Value
+		c.prepared[command.Name] = command.Value
 	case CommandForward:
 		return c.forward(command, held)
 	}
@@ -157,12 +157,12 @@
 		return CodeBusy
 	case command.After != (upstream.Position{}) && held.Before(command.After):
 		return CodeLagging
-	case c.state == StateOpen && c.plain && !u.primary && st.Kind != KindCommit:
+	case c.state == StateOpen && c.primaryOnly && !u.primary && st.Kind != KindCommit:
 		c.state = StateFailed
 		return CodeReadOnly
 	case st.Kind == KindWrite && !u.primary:
 		return CodeReadOnly
-	case st.Kind == KindExecute && c.names[command.Name] == "":
+	case st.Kind == KindExecute && c.prepared[command.Name] == "":
 		return CodeNoStatement
 	}
 	u.ran = append(u.ran, st.ID)
@@ -175,25 +175,25 @@
 		u.failNext--
 		return CodeFailed
 	}
-	c.effect(st)
+	c.applyEffect(st)
 	return CodeNone
 }
 
-func (c *fakeConn) effect(st *Statement) {
+func (c *fakeConn) applyEffect(st *Statement) {
 	switch {
 	case st.Kind == KindCommit:
 		c.state = StateIdle
 		if c.wrote {
-			c.u.held++
+			c.u.offset++
 		}
 	case st.Kind == KindWrite && c.state == StateOpen:
 		c.wrote = true
 	case st.Kind == KindWrite:
-		c.u.held++
+		c.u.offset++
 	}
 }
 
-// replicate lets all replicas catch up with the primary.
+// replicate makes all replicas catch up with the primary.
 func (g *fakeGroup) replicate() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -202,12 +202,13 @@
 			continue
 		}
 		for _, u := range g.upstreams {
-			u.term, u.held = p.term, p.held
+			u.term, u.offset = p.term, p.offset
 		}
 	}
 }
 
-// promote makes an upstream lead the next term with what it holds.
+// promote makes an upstream the primary of the next term, without changing its
+// data.
 func (g *fakeGroup) promote(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -218,7 +219,7 @@
 	g.upstreams[id].term = g.term
 }
 
-func (g *fakeGroup) set(id string, change func(*fakeUpstream)) {
+func (g *fakeGroup) update(id string, change func(*fakeUpstream)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	change(g.upstreams[id])
@@ -230,7 +231,8 @@
 	return append([]string(nil), g.upstreams[id].ran...)
 }
 
-// fixture is a proxy before one group of three: p1 leads, r1 and r2 follow.
+// fixture is a proxy for one group of three upstreams: the primary p1 and the
+// replicas r1 and r2.
 type fixture struct {
 	t     *testing.T
 	group *fakeGroup
@@ -256,7 +258,7 @@
 		})
 	}
 	for _, id := range []string{"p1", "r1", "r2"} {
-		g.upstreams[id] = &fakeUpstream{group: g, id: id, primary: id == "p1", term: 3, held: 100}
+		g.upstreams[id] = &fakeUpstream{group: g, id: id, primary: id == "p1", term: 3, offset: 100}
 		f.parts.Upstreams = append(f.parts.Upstreams, &pb.SiteUpstream{
 			Id: id, Group: "g", Address: id, DataCentre: "here", Slots: 4, Primary: id == "p1",
 		})
@@ -267,8 +269,8 @@
 	return f
 }
 
-// follow tells the proxy of another primary.
-func (f *fixture) follow(primary string) {
+// setPrimary gives the proxy a view with another primary.
+func (f *fixture) setPrimary(primary string) {
 	f.parts.Groups = []*pb.SiteGroupState{{Group: "g", Primary: primary}}
 	f.proxy.SetView(site.NewView(f.parts))
 }
--- a/proxy/health.go
+++ b/proxy/health.go
@@ -10,183 +10,194 @@
 )
 
 const (
-	// firstServiceTime is assumed before an upstream has answered anything.
-	firstServiceTime = 20 * time.Millisecond
-	// serviceTimeWeight is the weight of one answer in the estimate.
+	// initialServiceTime is the estimate for an upstream that has not
+	// answered any statement yet.
+	initialServiceTime = 20 * time.Millisecond
+	// serviceTimeWeight is the weight of one answer in the moving average of
+	// the service time.
 	serviceTimeWeight = 0.15
-	// leastDrift lets the least time of an answer grow by this part with
-	// each answer, so that a path that has become longer is learned within
-	// some hundred answers.
-	leastDrift = 200
-	// queueTolerance is how much longer than the least time statements may
-	// take on average before fewer are sent; the model earned most with it
-	// of 40, 60, 90 and 130 ms. An upstream's queue is served in the order
-	// of arrival, so what waits there can't be passed by urgent work.
-	queueTolerance = 40 * time.Millisecond
-	// forgetHalfLife makes the proxy try an upstream again that was slow.
-	forgetHalfLife = time.Second
-	// backoffMin and backoffMax bound how long an upstream is left alone
-	// after a failure. The first is a round trip between regions.
+	// minRTTDrift makes the minimum round-trip time grow by 1/200 with each
+	// answer, so that a path that has become longer is learned within some
+	// hundred answers.
+	minRTTDrift = 200
+	// maxQueueDelay is how much longer than the minimum round-trip time
+	// statements may take on average before the concurrency limit is lowered.
+	// An upstream serves its queue in the order of arrival, so urgent
+	// statements can't pass those that wait there. The load model earns less
+	// with 60, 90 and 130 ms.
+	maxQueueDelay = 40 * time.Millisecond
+	// serviceTimeHalfLife is the half-life of the service time of an unused
+	// upstream, so that one that was slow is tried again.
+	serviceTimeHalfLife = time.Second
+	// backoffMin and backoffMax bound the backoff after a failure of an
+	// upstream. The minimum is the round-trip time between regions.
 	backoffMin = 50 * time.Millisecond
 	backoffMax = 500 * time.Millisecond
-	// laggingMin and laggingMax bound how long an upstream that lacked a
-	// position is left alone. The first is the lag of a replica on a good
-	// day, the second a third of the ages that operators ask for.
-	laggingMin = 50 * time.Millisecond
-	laggingMax = 400 * time.Millisecond
-	// openTime is the time that opening a connection adds to a statement.
-	// Upstreams take 12 ms, and round trips of up to 40 ms come on top. It
-	// counts where connections are scarce; elsewhere they stay open.
-	openTime = 30 * time.Millisecond
+	// laggingPauseMin and laggingPauseMax bound how long an upstream that
+	// lacked a position gets no reads that need a newer position than it
+	// held. The minimum is the usual lag of a replica, the maximum a third
+	// of the maximum ages that operators configure.
+	laggingPauseMin = 50 * time.Millisecond
+	laggingPauseMax = 400 * time.Millisecond
+	// connectTime is the time that opening a connection adds to a
+	// statement: 12 ms at the upstream and round trips of up to 40 ms. It
+	// is counted only where connections are scarce; elsewhere they stay
+	// open.
+	connectTime = 30 * time.Millisecond
 )
 
-func (p *pool) dialFailedLocked(err error) {
+func (p *pool) recordDialFailureLocked(err error) {
 	var refused *DialRefused
 	if errors.As(err, &refused) && refused.Code != CodeWrongUpstream {
-		// It is alive, but has no connection or slot to spare.
-		p.backoffTill = now().Add(backoffMin)
+		// The upstream is reachable but has no free connection or slot.
+		p.backoffUntil = now().Add(backoffMin)
 		return
 	}
-	p.failedLocked()
+	p.recordFailureLocked()
 }
 
-// failedLocked notes a failure that says nothing good about the upstream.
-func (p *pool) failedLocked() {
+// recordFailureLocked records that the upstream did not answer, or is not the
+// expected one, and backs off from it.
+func (p *pool) recordFailureLocked() {
 	if p.failures == 0 {
 		p.failedSince = now()
 	}
 	pause := min(backoffMin<<min(p.failures, 5), backoffMax)
 	p.failures++
-	p.backoffTill = now().Add(pause)
+	p.backoffUntil = now().Add(pause)
 }
 
-// crowded reports that even one statement of each proxy is too much for the
+// saturated reports whether even one statement of each proxy is too much for the
 // upstream.
-func (p *pool) crowded() bool {
+func (p *pool) saturated() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.allowance.limit < 1
+	return p.concurrency.limit < 1
 }
 
-// answered notes an answer to something that needs no slot, or to a statement
-// that did not run. Its time says nothing of how busy the upstream is.
-func (p *pool) answered(took time.Duration) {
+// recordAnswer records the answer to a command that needs no slot, or to a
+// statement that did not run. Its time does not depend on the upstream's load.
+func (p *pool) recordAnswer(took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.answeredLocked(now(), took)
+	p.recordAnswerLocked(now(), took)
 }
 
-func (p *pool) answeredLocked(at time.Time, took time.Duration) {
-	p.failures, p.backoffTill = 0, time.Time{}
-	p.answeredAt = at
-	if p.least == 0 || took < p.least {
-		p.least = took
+func (p *pool) recordAnswerLocked(at time.Time, took time.Duration) {
+	p.failures, p.backoffUntil = 0, time.Time{}
+	p.lastAnswerAt = at
+	if p.minRTT == 0 || took < p.minRTT {
+		p.minRTT = took
 	}
-	p.least += p.least / leastDrift
+	p.minRTT += p.minRTT / minRTTDrift
 }
 
-// succeeded notes the answer to a statement that ran and its time.
-func (p *pool) succeeded(took time.Duration) {
+// recordRun records the answer to a statement that ran and how long it took.
+func (p *pool) recordRun(took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := now()
-	p.answeredLocked(at, took)
+	p.recordAnswerLocked(at, took)
 	ms := float64(took) / float64(time.Millisecond)
 	p.serviceTime += serviceTimeWeight * (ms - p.serviceTime)
-	p.usedAt = at
-	if queue := p.serviceTime - float64(p.least)/float64(time.Millisecond); queue > float64(queueTolerance)/float64(time.Millisecond) {
-		p.allowance.delayed(at)
+	p.lastRunAt = at
+	if queueMs := p.serviceTime - float64(p.minRTT)/float64(time.Millisecond); queueMs > float64(maxQueueDelay)/float64(time.Millisecond) {
+		p.concurrency.onQueueDelay(at)
 		return
 	}
-	p.allowance.succeeded(p.inFlight)
+	p.concurrency.onSuccess(p.inFlight)
 }
 
-// noteAnswer notes the answer to a statement.
-func (p *pool) noteAnswer(code Code, took time.Duration) {
+// recordStatement records the answer to a statement, whether it ran or not.
+func (p *pool) recordStatement(code Code, took time.Duration) {
 	if code.NotRun() {
-		p.answered(took)
+		p.recordAnswer(took)
 		return
 	}
-	p.succeeded(took)
+	p.recordRun(took)
 }
 
-// busy notes that the upstream had no room for a statement.
-func (p *pool) busy(pause time.Duration) {
+// recordBusy records that the upstream had no room for a statement, and backs off
+// from it for the given pause.
+func (p *pool) recordBusy(pause time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := now()
-	p.backoffTill = at.Add(pause)
-	p.allowance.refused(at)
+	p.backoffUntil = at.Add(pause)
+	p.concurrency.onRefusal(at)
 }
 
-// lagging notes that the upstream lacked a position and what it held instead.
-// The longer it lacks positions, the longer it is not asked for more than that.
-func (p *pool) lagging(held upstream.Position) {
+// recordLagging records that the upstream lacked a position and which one it held
+// instead. Until a pause has passed, the upstream gets no reads that need a newer
+// position. The pause doubles each time until the upstream has caught up.
+func (p *pool) recordLagging(position upstream.Position) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.held = held
+	p.laggingPosition = position
 	at := now()
-	if at.Before(p.laggingTill) {
+	if at.Before(p.laggingUntil) {
 		return
 	}
-	p.laggingPause = min(max(2*p.laggingPause, laggingMin), laggingMax)
-	p.laggingTill = at.Add(p.laggingPause)
+	p.laggingPause = min(max(2*p.laggingPause, laggingPauseMin), laggingPauseMax)
+	p.laggingUntil = at.Add(p.laggingPause)
 }
 
-// caughtUp notes that the upstream held a position that a read needed.
-func (p *pool) caughtUp() {
+// recordCaughtUp records that the upstream held a position that a read needed.
+func (p *pool) recordCaughtUp() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.laggingPause, p.laggingTill = 0, time.Time{}
+	p.laggingPause, p.laggingUntil = 0, time.Time{}
 }
 
-// estimate is what the proxy expects of one more statement.
+// estimate is what the proxy expects of an upstream for one more statement.
 type estimate struct {
 	// wait is the expected time until the answer.
 	wait time.Duration
-	// backsOff is set after a refusal, and from a failure until the next
-	// answer; behind if the upstream is likely to lack the position that the
-	// statement needs.
-	backsOff, behind bool
+	// backingOff is set for a while after a refusal, and from a failure until
+	// the next answer. behind is set if the upstream is likely to lack the
+	// position that the statement needs.
+	backingOff, behind bool
 }
 
-// estimate is for a statement that needs a position; zero for none.
+// estimate returns the estimate for a statement that needs the position after;
+// the zero position means none.
 func (p *pool) estimate(after upstream.Position) estimate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := now()
-	forgotten := math.Exp2(-float64(at.Sub(p.usedAt)) / float64(forgetHalfLife))
-	service := p.serviceTime * max(forgotten, 0.1)
-	service *= 1 + float64(p.inFlight+len(p.waiters))/p.allowance.limit
+	decay := math.Exp2(-float64(at.Sub(p.lastRunAt)) / float64(serviceTimeHalfLife))
+	service := p.serviceTime * max(decay, 0.1)
+	service *= 1 + float64(p.inFlight+len(p.waiters))/p.concurrency.limit
 	wait := time.Duration(service * float64(time.Millisecond))
-	if len(p.idle) == 0 && p.share.scarce {
-		wait += openTime
+	if len(p.idle) == 0 && p.quota.scarce {
+		wait += connectTime
 	}
 	return estimate{
-		wait:     wait,
-		backsOff: p.failures > 0 || at.Before(p.backoffTill),
-		behind:   at.Before(p.laggingTill) && p.held.Before(after),
+		wait:       wait,
+		backingOff: p.failures > 0 || at.Before(p.backoffUntil),
+		behind:     at.Before(p.laggingUntil) && p.laggingPosition.Before(after),
 	}
 }
 
 const (
-	// stalledAfter is how long a primary that has work may answer nothing
-	// before it is checked. Few statements take as long, and the check
-	// costs the upstream no slot but that of the connection.
+	// stalledAfter is how long a primary with statements in flight may answer
+	// nothing before it is checked. Few statements take as long, and a check
+	// needs a slot only to open its connection.
 	stalledAfter = 300 * time.Millisecond
 	checkTimeout = 300 * time.Millisecond
 )
 
-// checkDue reports whether the upstream should be checked now, and notes that it
-// will be. A primary that has stalled is to be missed soon, and any upstream that
-// failed gets no statement before it has answered a check: a statement would wait
-// for as long as a connection to a dark host may take.
-func (p *pool) checkDue(primary bool) bool {
+// claimCheck reports whether the upstream should be checked now; if so, the
+// caller must call check, and no other caller is told to until it returns. A
+// stalled primary is checked so that its loss is noticed soon. An upstream that
+// failed is checked before it gets statements, which would otherwise wait until
+// the dial of an unreachable host times out.
+func (p *pool) claimCheck(primary bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := now()
-	stalled := primary && p.inFlight > 0 && at.Sub(p.answeredAt) >= stalledAfter
-	failed := p.failures > 0 && !at.Before(p.backoffTill)
+	stalled := primary && p.inFlight > 0 && at.Sub(p.lastAnswerAt) >= stalledAfter
+	failed := p.failures > 0 && !at.Before(p.backoffUntil)
 	if p.checking || p.closed || !(stalled || failed) {
 		return false
 	}
@@ -194,8 +205,8 @@
 	return true
 }
 
-// check finds out whether the upstream answers on a new connection, which is kept
-// if there is room for it.
+// check opens a new connection to find out whether the upstream is reachable, and
+// records the result. The connection is kept if the quota has room for it.
 func (p *pool) check(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
@@ -208,17 +219,17 @@
 	defer p.mu.Unlock()
 	p.checking = false
 	if err != nil {
-		p.dialFailedLocked(err)
+		p.recordDialFailureLocked(err)
 		return
 	}
-	p.answeredLocked(now(), since(begunAt))
+	p.recordAnswerLocked(now(), since(begunAt))
 	p.open++
 	c := p.newConn(opened)
-	if p.closed || p.open > p.share.limit {
+	if p.closed || p.open > p.quota.limit {
 		p.closeLocked(c)
 		return
 	}
-	p.idleLocked(c)
+	p.putIdleLocked(c)
 	p.grantLocked()
 }
 
@@ -226,10 +237,11 @@
 func (p *pool) sinceAnswer() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return since(p.answeredAt)
+	return since(p.lastAnswerAt)
 }
 
-// unreachableFor returns how long nothing but failures came from the upstream.
+// unreachableFor returns the time since the first failure after the upstream's
+// last answer; 0 if there was none.
 func (p *pool) unreachableFor() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/proxy/model_test.go
+++ b/proxy/model_test.go
@@ -19,27 +19,27 @@
 	"lovageslip/upstream"
 )
 
-// The model plays callers, hosts and upstreams in virtual time, without
-// sockets, around the proxies of this package. Its seed decides who arrives when
-// with which work.
+// The load model simulates callers, hosts and upstreams around the proxies of
+// this package, in virtual time and without sockets. Its seed decides when
+// operations arrive and how much work they need.
 
 // modelClass is one kind of request.
 type modelClass struct {
-	name      string
-	freshness pb.Freshness
-	perSecond float64
-	work      time.Duration // mean, at an upstream
-	writes    float64       // share of operations that write once
-	longer    float64       // share of transactions
-	target    time.Duration
-	deadline  time.Duration
-	worth     float64
-	lateWorth float64
-	priority  uint32
-}
-
-// modelClasses are the classes of a small site, a third of each: its load is
-// divided among three groups.
+	name         string
+	freshness    pb.Freshness
+	perSecond    float64
+	work         time.Duration // mean, at an upstream
+	writes       float64       // share of operations that write once
+	transactions float64       // share of operations that are transactions
+	target       time.Duration
+	deadline     time.Duration
+	worth        float64
+	lateWorth    float64
+	priority     uint32
+}
+
+// modelClasses returns the classes of a small site at a third of its load,
+// because the site has three groups and the model one.
 func modelClasses() []modelClass {
 	return []modelClass{
 		{"orders", pb.Freshness_FRESHNESS_LATEST, 20, 7 * time.Millisecond, 0.35, 0.4, 500 * time.Millisecond, 8 * time.Second, 2, 0.6, 1},
@@ -55,28 +55,29 @@
 	modelOpenTime    = 12 * time.Millisecond
 	modelLinger      = 3 * time.Second
 	modelRetries     = 2
-	modelPause       = 20 * time.Millisecond // between statements of a transaction
-	modelStatements  = 3                     // of a transaction, beside its end
+	modelPause       = 20 * time.Millisecond // of the caller, between the statements of a transaction
+	modelStatements  = 3                     // in a transaction, without BEGIN and COMMIT
 )
 
-// modelUpstream has slots and a queue, and sheds what exceeds it.
+// modelUpstream runs statements in its slots, queues others and refuses those
+// that exceed the queue.
 type modelUpstream struct {
-	m       *model
-	id      string
-	index   int
-	primary bool
-	slots   chan struct{}
-	away    time.Duration // one way
-	lag     time.Duration
-	slow    float64
-	failing float64 // share of the statements that fail
-	dark    bool
-	waiting int
-	open    int
-	offset  upstream.Offset
-}
-
-// model is one run.
+	m           *model
+	id          string
+	index       int
+	primary     bool
+	slots       chan struct{}
+	oneWayDelay time.Duration // network delay in one direction
+	lag         time.Duration
+	slowdown    float64
+	failureRate float64 // share of the statements that fail
+	unreachable bool
+	waiting     int
+	open        int
+	offset      upstream.Offset
+}
+
+// model is the state of one run.
 type model struct {
 	mu        sync.Mutex
 	rng       *rand.Rand
@@ -86,53 +87,54 @@
 	parts     site.ViewParts
 	term      upstream.Term
 	start     time.Time
-	rate      func(at time.Duration) float64 // multiplies what arrives
+	rate      func(at time.Duration) float64 // multiplies the arrival rate
 	result    modelResult
 }
 
-// modelHost is a host with a proxy.
+// modelHost is a host that runs a proxy.
 type modelHost struct {
 	proxy  *Proxy
 	centre string
 	dead   bool
-	// processor is held while the host works for a statement.
+	// processor is occupied for the time cost of each statement.
 	processor chan struct{}
 	cost      time.Duration
-	// stop ends the proxy's own work.
+	// stop ends the proxy's Run.
 	stop context.CancelFunc
 }
 
-// modelResult is what callers and upstreams have seen.
+// modelResult counts what callers and upstreams have seen in a run.
 type modelResult struct {
-	asked, offered  int
-	owed, earned    map[string]float64
-	centreOwed      map[string]float64
-	centreEarned    map[string]float64
-	waits           *hdrhistogram.Histogram // ms
-	lateAt          map[int]int             // late or lost operations by second of arrival
-	arrivedAt       map[int]int
-	operations      []modelOperation
-	refused, failed int
-}
-
-// modelOperation is what the best schedule knows: how long the work takes on
-// average, since nobody can tell how long a statement will run.
+	callerStatements, upstreamStatements int
+	possible, earned                     map[string]float64
+	centrePossible                       map[string]float64
+	centreEarned                         map[string]float64
+	waits                                *hdrhistogram.Histogram // ms
+	lateAt                               map[int]int             // late or lost operations by second of arrival
+	arrivedAt                            map[int]int
+	operations                           []modelOperation
+	refused, failed                      int
+}
+
+// modelOperation is what the schedule of the bound knows of an operation. The
+// work is the mean for its class, because no schedule can know how long a
+// statement will run.
 type modelOperation struct {
 	class *modelClass
 	at    time.Duration
 	work  time.Duration
 }
 
-// policy changes a model to a simpler one.
+// policy is how the proxies of a model choose and order statements.
 type policy int
 
 const (
 	policyChosen policy = iota
-	// policyArrival serves in the order of arrival.
+	// policyArrival sends waiting statements in the order of arrival.
 	policyArrival
-	// policyPrimary reads at the primary only.
+	// policyPrimary runs all reads at the primary.
 	policyPrimary
-	// policyFixed sends all that connections allow.
+	// policyFixed limits statements by the number of connections only.
 	policyFixed
 )
 
@@ -149,12 +151,12 @@
 // centres.
 func newModel(p policy) *model {
 	m := &model{rng: rand.New(rand.NewPCG(modelSeed, modelSeed)), classes: modelClasses(), term: 1, start: now(), rate: func(time.Duration) float64 { return 1 }}
-	m.result = modelResult{owed: map[string]float64{}, earned: map[string]float64{}, centreOwed: map[string]float64{},
+	m.result = modelResult{possible: map[string]float64{}, earned: map[string]float64{}, centrePossible: map[string]float64{},
 		centreEarned: map[string]float64{}, waits: hdrhistogram.New(1, 60_000, 3), lateAt: map[int]int{}, arrivedAt: map[int]int{}}
 	for i := range 3 {
 		id := fmt.Sprintf("u%d", i)
 		m.upstreams = append(m.upstreams, &modelUpstream{m: m, id: id, index: i, primary: i == 0, slots: make(chan struct{}, modelSlots),
-			away: 500 * time.Microsecond, lag: 20 * time.Millisecond, slow: 1})
+			oneWayDelay: 500 * time.Microsecond, lag: 20 * time.Millisecond, slowdown: 1})
 		m.parts.Upstreams = append(m.parts.Upstreams, &pb.SiteUpstream{Id: id, Group: "g", Address: id, DataCentre: fmt.Sprint(i), Slots: modelSlots})
 	}
 	m.parts.Groups = []*pb.SiteGroupState{{Group: "g", Primary: "u0"}}
@@ -190,8 +192,9 @@
 	h.proxy.SetView(site.NewView(m.parts))
 	if p == policyFixed {
 		for _, pl := range h.proxy.pools {
-			// It is never time for a cut.
-			pl.allowance = allowance{limit: modelConnections, cutAt: m.start.Add(24 * time.Hour)}
+			// The time of the last decrease lies ahead, so the limit
+			// is never lowered.
+			pl.concurrency = concurrencyLimit{limit: modelConnections, decreasedAt: m.start.Add(24 * time.Hour)}
 		}
 	}
 	var ctx context.Context
@@ -199,8 +202,8 @@
 	go h.proxy.Run(ctx)
 }
 
-// play runs a model for a while of virtual time and returns what was seen.
-func play(t *testing.T, p policy, length time.Duration, arrange func(*model)) *modelResult {
+// runModel runs a model for length of virtual time and returns its result.
+func runModel(t *testing.T, p policy, length time.Duration, arrange func(*model)) *modelResult {
 	t.Helper()
 	var result *modelResult
 	synctest.Test(t, func(t *testing.T) {
@@ -223,7 +226,7 @@
 	return result
 }
 
-// after changes the model at a time of the run.
+// after calls change at a time of the run, with the model's lock held.
 func (m *model) after(at time.Duration, change func()) {
 	time.AfterFunc(at, func() {
 		m.mu.Lock()
@@ -232,7 +235,8 @@
 	})
 }
 
-// arrivals lets operations of a class arrive until the end of the run.
+// arrivals starts operations of a class at random intervals until the end of
+// the run.
 func (m *model) arrivals(c *modelClass, rng *rand.Rand, length time.Duration, callers *sync.WaitGroup) {
 	for {
 		at := now().Sub(m.start)
@@ -244,7 +248,7 @@
 		m.mu.Unlock()
 		time.Sleep(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		o := newOperation(c, rng)
-		callers.Go(func() { m.operate(o) })
+		callers.Go(func() { m.runOperation(o) })
 	}
 }
 
@@ -252,16 +256,16 @@
 type operation struct {
 	class      *modelClass
 	statements []*Statement
-	expected   time.Duration // work, on average
+	expected   time.Duration // mean work
 	host       int
 	begunAt    time.Time
 }
 
-// newOperation draws what an operation does. Its work is carried in the value of
-// each statement, in microseconds.
+// newOperation draws the statements of an operation at random. The value of each
+// statement is its work in microseconds.
 func newOperation(c *modelClass, rng *rand.Rand) *operation {
 	o := &operation{class: c, host: rng.IntN(modelHosts)}
-	writes, long := rng.Float64() < c.writes, rng.Float64() < c.longer
+	writes, long := rng.Float64() < c.writes, rng.Float64() < c.transactions
 	count := 1
 	if long {
 		count = modelStatements
@@ -283,14 +287,14 @@
 	return o
 }
 
-// operate runs an operation with the caller's retries and credits it.
-func (m *model) operate(o *operation) {
+// runOperation runs an operation with the caller's retries and records its result.
+func (m *model) runOperation(o *operation) {
 	c := o.class
 	o.begunAt = now()
 	second := int(o.begunAt.Sub(m.start) / time.Second)
 	m.mu.Lock()
-	m.result.owed[c.name] += c.worth
-	m.result.centreOwed[m.proxies[o.host].centre] += c.worth
+	m.result.possible[c.name] += c.worth
+	m.result.centrePossible[m.proxies[o.host].centre] += c.worth
 	m.result.arrivedAt[second]++
 	m.result.operations = append(m.result.operations, modelOperation{c, o.begunAt.Sub(m.start), o.expected})
 	m.mu.Unlock()
@@ -302,10 +306,10 @@
 			time.Sleep(wait)
 		}
 	}
-	m.credit(o, served, second)
+	m.recordOutcome(o, served, second)
 }
 
-func (m *model) credit(o *operation, served bool, second int) {
+func (m *model) recordOutcome(o *operation, served bool, second int) {
 	took := since(o.begunAt)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -326,8 +330,8 @@
 	_ = m.result.waits.RecordValue(max(took.Milliseconds(), 1))
 }
 
-// attempt runs all statements of an operation on one session. If it fails, it
-// returns when to come back.
+// attempt runs all statements of an operation in one session. If it fails, it
+// returns the time after which the caller tries again.
 func (m *model) attempt(o *operation, host int) (served bool, wait time.Duration) {
 	h := m.proxies[host]
 	session, refusal := h.proxy.Open(o.class.name)
@@ -343,7 +347,7 @@
 		}
 		h.work()
 		if st.Kind != KindBegin {
-			m.count(func() { m.result.asked++ })
+			m.withLock(func() { m.result.callerStatements++ })
 		}
 		reply := session.Do(ctx, st)
 		m.mu.Lock()
@@ -353,7 +357,7 @@
 		case dead:
 			return false, retryAfterMean
 		case reply.Refusal != nil:
-			m.count(func() { m.result.refused++ })
+			m.withLock(func() { m.result.refused++ })
 			return false, reply.Refusal.RetryAfter
 		case string(reply.Body) == modelFailed:
 			return false, 0
@@ -362,7 +366,7 @@
 	return true, 0
 }
 
-// work takes the host's processor for its cost of one statement.
+// work occupies the host's processor for the cost of one statement.
 func (h *modelHost) work() {
 	if h.cost == 0 {
 		return
@@ -372,7 +376,7 @@
 	<-h.processor
 }
 
-func (m *model) count(change func()) {
+func (m *model) withLock(change func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	change()
@@ -380,25 +384,25 @@
 
 const modelFailed = "failed"
 
-// Dial implements Dialer. A new connection occupies a slot for a while.
+// Dial implements Dialer. A new connection occupies a slot for modelOpenTime.
 func (m *model) Dial(ctx context.Context, record *pb.SiteUpstream) (Conn, error) {
 	u := m.upstreams[int(record.Id[1]-'0')]
 	m.mu.Lock()
-	dark := u.dark
+	unreachable := u.unreachable
 	full := u.open >= modelConnections
-	if !dark && !full {
+	if !unreachable && !full {
 		u.open++
 	}
 	m.mu.Unlock()
 	switch {
-	case dark:
+	case unreachable:
 		<-ctx.Done()
 		return nil, &fault.IO{Op: "dial", Err: ctx.Err()}
 	case full:
-		time.Sleep(2 * u.away)
+		time.Sleep(2 * u.oneWayDelay)
 		return nil, &DialRefused{Upstream: u.id, Code: CodeTooManyConnections}
 	}
-	time.Sleep(2 * u.away)
+	time.Sleep(2 * u.oneWayDelay)
 	u.slots <- struct{}{}
 	time.Sleep(modelOpenTime)
 	<-u.slots
@@ -407,21 +411,21 @@
 
 // modelConn is a connection to a modelUpstream.
 type modelConn struct {
-	u     *modelUpstream
-	state TransactionState
-	plain bool
-	wrote bool
+	u           *modelUpstream
+	state       TransactionState
+	primaryOnly bool
+	wrote       bool
 }
 
 func (c *modelConn) Alive() bool { return true }
 
 func (c *modelConn) Close() error {
-	c.u.m.count(func() { c.u.open-- })
+	c.u.m.withLock(func() { c.u.open-- })
 	return nil
 }
 
 func (c *modelConn) Exchange(deadline time.Time, commands ...Command) ([]Answer, error) {
-	time.Sleep(c.u.away)
+	time.Sleep(c.u.oneWayDelay)
 	var answers []Answer
 	for _, command := range commands {
 		code, failed, lost := c.run(command, deadline)
@@ -430,36 +434,36 @@
 			return nil, &fault.IO{Op: "read", Err: context.DeadlineExceeded}
 		}
 		a := Answer{Code: code, State: c.state, Body: []byte("ok")}
-		c.u.m.count(func() { a.Position = upstream.Position{Term: c.u.m.term, Offset: c.u.offset} })
+		c.u.m.withLock(func() { a.Position = upstream.Position{Term: c.u.m.term, Offset: c.u.offset} })
 		if failed {
 			a.Code, a.Body = CodeFailed, []byte(modelFailed)
 		}
 		answers = append(answers, a)
 	}
-	time.Sleep(c.u.away)
+	time.Sleep(c.u.oneWayDelay)
 	return answers, nil
 }
 
-// run applies a command. A dark upstream loses it.
+// run applies a command. At an unreachable upstream it is lost.
 func (c *modelConn) run(command Command, deadline time.Time) (code Code, failed, lost bool) {
 	u, m := c.u, c.u.m
 	m.mu.Lock()
 	behind := u.offset < command.After.Offset
-	primary, dark := u.primary, u.dark
+	primary, unreachable := u.primary, u.unreachable
 	m.mu.Unlock()
 	switch {
-	case dark:
+	case unreachable:
 		return 0, false, true
 	case command.Kind == CommandBegin && !primary:
 		c.state = StateFailed
 		return CodeReadOnly, false, false
 	case command.Kind == CommandBegin:
-		c.state, c.plain, c.wrote = StateOpen, true, false
+		c.state, c.primaryOnly, c.wrote = StateOpen, true, false
 	case command.Kind == CommandBeginRead && behind:
 		c.state = StateFailed
 		return CodeLagging, false, false
 	case command.Kind == CommandBeginRead:
-		c.state, c.plain = StateOpen, false
+		c.state, c.primaryOnly = StateOpen, false
 	case command.Kind == CommandRollback:
 		c.state = StateIdle
 	case command.Kind == CommandForward:
@@ -470,9 +474,9 @@
 
 func (c *modelConn) forward(command Command, primary, behind bool) (code Code, failed, lost bool) {
 	u, m, st := c.u, c.u.m, command.Statement
-	needsPrimary := st.Kind == KindWrite || (c.state == StateOpen && c.plain)
+	needsPrimary := st.Kind == KindWrite || (c.state == StateOpen && c.primaryOnly)
 	m.mu.Lock()
-	m.result.offered++
+	m.result.upstreamStatements++
 	full := u.waiting >= modelQueue
 	if !full {
 		u.waiting++
@@ -482,7 +486,7 @@
 		return CodeBusy, false, false
 	}
 	u.slots <- struct{}{}
-	m.count(func() { u.waiting-- })
+	m.withLock(func() { u.waiting-- })
 	defer func() { <-u.slots }()
 	if behind {
 		return CodeLagging, false, false
@@ -496,23 +500,23 @@
 		panic(err)
 	}
 	m.mu.Lock()
-	work := time.Duration(float64(micros)*u.slow) * time.Microsecond
-	failed = m.rng.Float64() < u.failing
+	work := time.Duration(float64(micros)*u.slowdown) * time.Microsecond
+	failed = m.rng.Float64() < u.failureRate
 	m.mu.Unlock()
 	time.Sleep(work)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if u.dark {
+	if u.unreachable {
 		return 0, false, true
 	}
 	if !failed {
-		c.effect(st)
+		c.applyEffect(st)
 	}
 	return CodeNone, failed, false
 }
 
-// effect applies a statement that ran. The model's lock is held.
-func (c *modelConn) effect(st *Statement) {
+// applyEffect applies a statement that ran. The caller holds the model's lock.
+func (c *modelConn) applyEffect(st *Statement) {
 	switch {
 	case st.Kind == KindCommit:
 		c.state = StateIdle
@@ -526,19 +530,20 @@
 	}
 }
 
-// commit appends at the primary; replicas apply it after their lag.
+// commit appends a commit at the primary; replicas apply it after their lag.
+// The caller holds the model's lock.
 func (u *modelUpstream) commit() {
 	u.offset++
 	offset := u.offset
 	for _, r := range u.m.upstreams {
 		if r != u {
-			time.AfterFunc(r.lag, func() { u.m.count(func() { r.offset = max(r.offset, offset) }) })
+			time.AfterFunc(r.lag, func() { u.m.withLock(func() { r.offset = max(r.offset, offset) }) })
 		}
 	}
 }
 
-// promote makes a replica the primary and tells all proxies. The model's lock is
-// held.
+// promote makes a replica the primary and gives all proxies the new view. The
+// caller holds the model's lock.
 func (m *model) promote(index int) {
 	m.term++
 	for i, u := range m.upstreams {
@@ -551,15 +556,16 @@
 	}
 }
 
-// kill ends a host. Its connections count at the upstreams for a while.
+// kill ends a host. The upstreams go on counting its connections. The caller
+// holds the model's lock.
 func (m *model) kill(index int) {
 	h := m.proxies[index]
 	h.dead = true
 	h.stop()
 }
 
-// worth is what was earned of what was owed.
-func (r *modelResult) worth() float64 { return total(r.earned) / total(r.owed) }
+// worth returns the earned share of the possible worth.
+func (r *modelResult) worth() float64 { return total(r.earned) / total(r.possible) }
 
 func total(parts map[string]float64) float64 {
 	sum := 0.0
@@ -569,11 +575,11 @@
 	return sum
 }
 
-// worst returns the smallest part earned by any key, of what was owed to it.
-func worst(earned, owed map[string]float64) float64 {
-	least := 1.0
-	for key, due := range owed {
-		least = min(least, earned[key]/due)
+// worst returns the smallest share that any key has earned of its possible worth.
+func worst(earned, possible map[string]float64) float64 {
+	smallest := 1.0
+	for key, worth := range possible {
+		smallest = min(smallest, earned[key]/worth)
 	}
-	return least
+	return smallest
 }
--- a/proxy/pattern_test.go
+++ b/proxy/pattern_test.go
@@ -9,37 +9,38 @@
 	"gotest.tools/v3/assert"
 )
 
-// pattern is a load that is known to cause trouble.
+// pattern is a load or a failure that the proxies must cope with, and the
+// targets that they must reach under it.
 type pattern struct {
 	name   string
 	length time.Duration
-	// from and until is when more arrives than can be served, for the
-	// bound; slots is how many of the group's are left then.
+	// from and until limit the time of the overload or failure, for the
+	// bound. slots is how many of the group's slots are usable during it.
 	from, until time.Duration
 	slots       int
 	arrange     func(*model)
-	// least is the share of the bound that is to be earned, from the target
-	// of 0.9 that the users state.
-	least float64
-	// amplification bounds the statements that upstreams are offered for
-	// each that is asked.
-	amplification float64
-	// normalAfter bounds the time after until in which operations may still
+	// minShare is the share of the bound that must be earned.
+	minShare float64
+	// maxAmplification bounds the statements that upstreams get for each
+	// statement of callers.
+	maxAmplification float64
+	// maxRecovery bounds the time after until in which operations may still
 	// be late.
-	normalAfter time.Duration
-	// beyondReach is set if the pattern does not reach these yet.
-	beyondReach bool
+	maxRecovery time.Duration
+	// missesTargets is set if the proxies don't reach these targets yet.
+	missesTargets bool
 }
 
 const (
-	statedWorth         = 0.9 // of what could be earned; the users' target
-	statedAmplification = 1.1 // at overload; issue 11
-	statedRecovery      = time.Second
+	targetWorth         = 0.9 // share of the bound; the users' target
+	targetAmplification = 1.1 // at overload; issue 11
+	targetRecovery      = time.Second
 	allSlots            = 3 * modelSlots
 )
 
-// surge multiplies what arrives between two times.
-func surge(times float64, from, until time.Duration) func(time.Duration) float64 {
+// loadPeak returns the factor of the arrival rate over time: times between from
+// and until, 1 otherwise.
+func loadPeak(times float64, from, until time.Duration) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at >= from && at < until {
 			return times
@@ -48,44 +49,45 @@
 	}
 }
 
-// patterns are the loads of the users' bad days.
+// patterns returns the loads and failures that the users have named as
+// troublesome.
 func patterns() []pattern {
 	const from, until = 4 * time.Second, 8 * time.Second
-	stated := pattern{length: 14 * time.Second, from: from, until: until, slots: allSlots, least: statedWorth,
-		amplification: statedAmplification, normalAfter: statedRecovery}
+	defaults := pattern{length: 14 * time.Second, from: from, until: until, slots: allSlots, minShare: targetWorth,
+		maxAmplification: targetAmplification, maxRecovery: targetRecovery}
 	with := func(name string, change func(*pattern)) pattern {
-		p := stated
+		p := defaults
 		p.name = name
 		change(&p)
 		return p
 	}
 	return []pattern{
-		with("burst-1.4", func(p *pattern) { p.arrange = func(m *model) { m.rate = surge(1.4, from, until) } }),
-		with("wave-over-capacity", func(p *pattern) { p.arrange = func(m *model) { m.rate = surge(4, from, until) } }),
+		with("burst-1.4", func(p *pattern) { p.arrange = func(m *model) { m.rate = loadPeak(1.4, from, until) } }),
+		with("wave-over-capacity", func(p *pattern) { p.arrange = func(m *model) { m.rate = loadPeak(4, from, until) } }),
 		with("burst-10", func(p *pattern) {
-			p.beyondReach = true
+			p.missesTargets = true
 			p.until = 5 * time.Second
-			p.arrange = func(m *model) { m.rate = surge(10, from, 5*time.Second) }
+			p.arrange = func(m *model) { m.rate = loadPeak(10, from, 5*time.Second) }
 		}),
 		with("one-upstream-five-times-slower", func(p *pattern) {
 			p.slots = 2*modelSlots + modelSlots/5
 			p.arrange = func(m *model) {
-				m.after(from, func() { m.upstreams[1].slow = 5 })
-				m.after(until, func() { m.upstreams[1].slow = 1 })
+				m.after(from, func() { m.upstreams[1].slowdown = 5 })
+				m.after(until, func() { m.upstreams[1].slowdown = 1 })
 			}
 		}),
 		with("grey-upstream", func(p *pattern) {
 			p.arrange = func(m *model) {
-				m.after(from, func() { m.upstreams[1].failing = 0.4 })
-				m.after(until, func() { m.upstreams[1].failing = 0 })
+				m.after(from, func() { m.upstreams[1].failureRate = 0.4 })
+				m.after(until, func() { m.upstreams[1].failureRate = 0 })
 			}
 		}),
 		with("flapping-replica", func(p *pattern) {
 			p.slots = 2 * modelSlots
 			p.arrange = func(m *model) {
 				for at := from; at < until; at += time.Second {
-					m.after(at, func() { m.upstreams[2].dark = true })
-					m.after(at+500*time.Millisecond, func() { m.upstreams[2].dark = false })
+					m.after(at, func() { m.upstreams[2].unreachable = true })
+					m.after(at+500*time.Millisecond, func() { m.upstreams[2].unreachable = false })
 				}
 			}
 		}),
@@ -95,7 +97,7 @@
 		with("change-of-primary", func(p *pattern) {
 			p.until, p.slots = from+1500*time.Millisecond, 2*modelSlots
 			p.arrange = func(m *model) {
-				m.after(from, func() { m.upstreams[0].dark = true })
+				m.after(from, func() { m.upstreams[0].unreachable = true })
 				m.after(from+1300*time.Millisecond, func() { m.promote(1) })
 			}
 		}),
@@ -109,29 +111,29 @@
 		with("retry-storm-after-an-outage", func(p *pattern) {
 			p.until, p.slots = from+2*time.Second, 0
 			p.arrange = func(m *model) {
-				dark := func(is bool) func() {
+				setUnreachable := func(is bool) func() {
 					return func() {
 						for _, u := range m.upstreams {
-							u.dark = is
+							u.unreachable = is
 						}
 					}
 				}
-				m.after(from, dark(true))
-				m.after(from+2*time.Second, dark(false))
+				m.after(from, setUnreachable(true))
+				m.after(from+2*time.Second, setUnreachable(false))
 			}
 		}),
 		with("long-work-before-short", func(p *pattern) {
-			p.beyondReach = true
+			p.missesTargets = true
 			p.arrange = func(m *model) {
 				m.classes[1].work = 150 * time.Millisecond
-				m.rate = surge(2.5, from, until)
+				m.rate = loadPeak(2.5, from, until)
 			}
 		}),
 		with("unequal-patience", func(p *pattern) {
-			p.beyondReach = true
+			p.missesTargets = true
 			p.arrange = func(m *model) {
 				m.classes[2].target, m.classes[1].target = 300*time.Millisecond, 3*time.Second
-				m.rate = surge(4, from, until)
+				m.rate = loadPeak(4, from, until)
 			}
 		}),
 		with("processors-are-narrow", func(p *pattern) {
@@ -139,23 +141,24 @@
 				for _, h := range m.proxies {
 					h.cost = 10 * time.Millisecond
 				}
-				m.rate = surge(2, from, until)
+				m.rate = loadPeak(2, from, until)
 			}
 		}),
 	}
 }
 
-// bound is an upper bound of what a schedule could earn that knows who will come.
-// Operations that arrive during the trouble share the slots that are left: those
-// with a target of at most d must be served within the trouble and d after it.
-// Those with the most worth for their work go first, the rest are served late,
-// and all others in time.
+// bound returns an upper bound of the share of the worth that any schedule
+// could earn, even one that knows all arrivals in advance. Operations that
+// arrive between from and until share the usable slots: those with a target of
+// at most d must be served before until+d. Those with the most worth for their
+// work are served first, the rest late. All operations that arrive at other
+// times are served within their target.
 func (p pattern) bound(r *modelResult) float64 {
-	var crowd []modelOperation
-	earned, owed := 0.0, 0.0
-	left := map[time.Duration]time.Duration{} // by target, for it and all shorter ones
+	var overlapping []modelOperation
+	earned, possible := 0.0, 0.0
+	capacity := map[time.Duration]time.Duration{} // capacity by target, for it and all shorter ones
 	for _, o := range r.operations {
-		owed += o.class.worth
+		possible += o.class.worth
 		if o.at < p.from || o.at >= p.until {
 			earned += o.class.worth
 			continue
@@ -164,39 +167,40 @@
 			earned += o.class.lateWorth
 			continue
 		}
-		crowd = append(crowd, o)
-		left[o.class.target] = time.Duration(p.slots)*(p.until-p.from) + allSlots*o.class.target
+		overlapping = append(overlapping, o)
+		capacity[o.class.target] = time.Duration(p.slots)*(p.until-p.from) + allSlots*o.class.target
 	}
-	slices.SortFunc(crowd, func(a, b modelOperation) int {
+	slices.SortFunc(overlapping, func(a, b modelOperation) int {
 		return cmp.Compare((b.class.worth-b.class.lateWorth)/float64(b.work+1), (a.class.worth-a.class.lateWorth)/float64(a.work+1))
 	})
-	for _, o := range crowd {
-		if take(left, o) {
+	for _, o := range overlapping {
+		if reserve(capacity, o) {
 			earned += o.class.worth
 		} else {
 			earned += o.class.lateWorth
 		}
 	}
-	return earned / owed
+	return earned / possible
 }
 
-// take uses up what is left for an operation's target and all longer ones.
-func take(left map[time.Duration]time.Duration, o modelOperation) bool {
-	for target, room := range left {
+// reserve takes an operation's work from the capacity for its target and for
+// all longer ones. It reports false if there is too little.
+func reserve(capacity map[time.Duration]time.Duration, o modelOperation) bool {
+	for target, room := range capacity {
 		if target >= o.class.target && room < o.work {
 			return false
 		}
 	}
-	for target := range left {
+	for target := range capacity {
 		if target >= o.class.target {
-			left[target] -= o.work
+			capacity[target] -= o.work
 		}
 	}
 	return true
 }
 
-// lateness returns how long after the trouble operations that arrived were
-// still late; a second with less than one in twenty late is normal.
+// lateness returns how long after until arriving operations were still late. A
+// second in which at most one in twenty is late counts as normal.
 func (p pattern) lateness(r *modelResult) time.Duration {
 	last := p.until
 	for second, late := range r.lateAt {
@@ -207,34 +211,33 @@
 	return last - p.until
 }
 
-func (p pattern) amplified(r *modelResult) float64 {
-	return float64(r.offered) / float64(max(r.asked, 1))
+func (p pattern) amplification(r *modelResult) float64 {
+	return float64(r.upstreamStatements) / float64(max(r.callerStatements, 1))
 }
 
 func TestPatterns(t *testing.T) {
 	for _, p := range patterns() {
-		if !p.beyondReach {
+		if !p.missesTargets {
 			t.Run(p.name, p.check)
 		}
 	}
 }
 
-// TestHeavyPatterns holds the patterns that do not reach their bounds yet; see
-// KNOWN-RED.txt.
+// TestHeavyPatterns runs the patterns that miss their targets; see KNOWN-RED.txt.
 func TestHeavyPatterns(t *testing.T) {
 	for _, p := range patterns() {
-		if p.beyondReach {
+		if p.missesTargets {
 			t.Run(p.name, p.check)
 		}
 	}
 }
 
 func (p pattern) check(t *testing.T) {
-	r := play(t, policyChosen, p.length, p.arrange)
+	r := runModel(t, policyChosen, p.length, p.arrange)
 	share := r.worth() / p.bound(r)
 	t.Logf("%d operations: worth %.3f, %.3f of the bound; offered %.2f for each asked; late for %v; worst class %.3f, worst data centre %.3f",
-		len(r.operations), r.worth(), share, p.amplified(r), p.lateness(r), worst(r.earned, r.owed), worst(r.centreEarned, r.centreOwed))
-	assert.Check(t, share >= p.least, "%.3f of the bound", share)
-	assert.Check(t, p.amplified(r) < p.amplification, "%.2f", p.amplified(r))
-	assert.Check(t, p.lateness(r) <= p.normalAfter, "%v", p.lateness(r))
+		len(r.operations), r.worth(), share, p.amplification(r), p.lateness(r), worst(r.earned, r.possible), worst(r.centreEarned, r.centrePossible))
+	assert.Check(t, share >= p.minShare, "worth is %.3f of the bound", share)
+	assert.Check(t, p.amplification(r) < p.maxAmplification, "%.2f", p.amplification(r))
+	assert.Check(t, p.lateness(r) <= p.maxRecovery, "%v", p.lateness(r))
 }
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -11,92 +11,93 @@
 
 const (
 	dialTimeout = time.Second
-	// surplusIdle is how long a connection beside the first one stays open
-	// unused. Opening another costs the upstream 12 ms of a slot.
-	surplusIdle = 3 * time.Second
+	// surplusIdleTimeout is how long all unused connections but one stay
+	// open. Opening a new one costs the upstream 12 ms of a slot.
+	surplusIdleTimeout = 3 * time.Second
 )
 
-// pool holds a proxy's connections to one upstream and what the proxy has
-// learned about it. It is safe for concurrent use.
+// pool holds a proxy's connections to one upstream, the statements that wait for
+// them, and the upstream's health as the proxy has seen it. It is safe for
+// concurrent use.
 type pool struct {
 	dialer Dialer
 
 	// mu guards the fields below.
 	mu     sync.Mutex
 	record *pb.SiteUpstream
-	share  share
+	quota  connectionQuota
 	open   int
 	idle   []*conn // most recently used last
 	closed bool
-	// inFlight counts the statements that are at the upstream, or about to
-	// be sent to it.
+	// inFlight counts the statements that are at the upstream or about to be
+	// sent to it.
 	inFlight int
-	// dialing counts the open connections that are being opened.
-	dialing   int
-	allowance allowance
-	waiters   []*waiter
-	// grantDue is set while a timer is to look for the next waiter.
-	grantDue bool
+	// dialing is the part of open that is still being dialed.
+	dialing     int
+	concurrency concurrencyLimit
+	waiters     []*waiter
+	// grantTimerSet is set while a timer is pending that calls grantLocked.
+	grantTimerSet bool
 
 	serviceTime float64 // milliseconds
-	// least is the least time that an answer took lately: the way there and
-	// back.
-	least       time.Duration
-	usedAt      time.Time
-	answeredAt  time.Time
-	checking    bool
-	failures    int
-	failedSince time.Time
-	backoffTill time.Time
-	// held is what the upstream held when it last lacked a position;
-	// laggingTill and laggingPause are until when and for how long it is
-	// not asked for more.
-	held         upstream.Position
-	laggingTill  time.Time
-	laggingPause time.Duration
+	// minRTT is the shortest recent time until an answer, which is about the
+	// round-trip time of the network.
+	minRTT       time.Duration
+	lastRunAt    time.Time
+	lastAnswerAt time.Time
+	checking     bool
+	failures     int
+	failedSince  time.Time
+	backoffUntil time.Time
+	// laggingPosition is what the upstream held when it last lacked a
+	// position. Until laggingUntil it gets no reads that need a newer one;
+	// laggingPause is how long that pause was when it began.
+	laggingPosition upstream.Position
+	laggingUntil    time.Time
+	laggingPause    time.Duration
 }
 
-// waiter is a statement that waits for its turn.
+// waiter is a statement that waits for a connection.
 type waiter struct {
-	ticket  ticket
-	granted chan grant // has room for one
+	urgency urgency
+	granted chan grant // buffers one
 }
 
-// grant is a connection that counts as in flight, or the reason why there is
-// none.
+// grant ends the wait of a statement, with a connection that counts as in
+// flight or with the error why there is none.
 type grant struct {
 	conn *conn
 	err  error
 }
 
-// conn is a pooled connection with the session state that it carries.
+// conn is a pooled connection and the session state that is set on it.
 type conn struct {
 	Conn
-	pool     *pool
-	values   map[string]string
-	prepared map[string]bool
-	idleAt   time.Time
-	// commands is a buffer of what is sent together.
+	pool      *pool
+	values    map[string]string
+	prepared  map[string]bool
+	idleSince time.Time
+	// commands is the reused buffer of the commands that exchange sends.
 	commands []Command
-	// counted is set while the connection counts as in flight; the pool's
-	// lock guards it.
-	counted bool
+	// countedInFlight is set while the connection counts as in flight; the
+	// pool's lock guards it.
+	countedInFlight bool
 }
 
-func newPool(dialer Dialer, u *pb.SiteUpstream, part share) *pool {
+func newPool(dialer Dialer, u *pb.SiteUpstream, quota connectionQuota) *pool {
 	return &pool{
 		dialer:      dialer,
 		record:      u,
-		share:       part,
-		allowance:   newAllowance(),
-		serviceTime: float64(firstServiceTime / time.Millisecond),
+		quota:       quota,
+		concurrency: newConcurrencyLimit(),
+		serviceTime: float64(initialServiceTime / time.Millisecond),
 	}
 }
 
-func (p *pool) update(u *pb.SiteUpstream, part share) {
+func (p *pool) update(u *pb.SiteUpstream, quota connectionQuota) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.record, p.share = u, part
+	p.record, p.quota = u, quota
 	p.grantLocked()
 }
 
@@ -106,14 +107,15 @@
 	return p.record.Id
 }
 
-// takeLocked returns an idle connection, counted as in flight, or nil.
-func (p *pool) takeLocked() *conn {
+// popIdleLocked returns an idle connection that is alive and counts it as in
+// flight; nil if there is none.
+func (p *pool) popIdleLocked() *conn {
 	for len(p.idle) > 0 {
 		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
 		if c.Alive() {
 			p.inFlight++
-			c.counted = true
+			c.countedInFlight = true
 			return c
 		}
 		p.closeLocked(c)
@@ -121,57 +123,60 @@
 	return nil
 }
 
-// grantLocked gives free places to those who wait, the most urgent first, and
-// opens connections for the others. A connection is opened beside the
-// statements: one that gives up waiting must not waste it.
+// grantLocked gives idle connections to waiting statements, the most urgent
+// first, as far as the concurrency limit allows, and dials connections for the
+// others. Dials run in goroutines of their own, so that a connection is kept
+// even if the statement that caused it stops waiting.
 func (p *pool) grantLocked() {
 	at := now()
-	p.grantLaterLocked(at)
-	for len(p.waiters) > 0 && p.allowance.allows(p.inFlight, at) {
-		c := p.takeLocked()
+	p.scheduleGrantLocked(at)
+	for len(p.waiters) > 0 && p.concurrency.allows(p.inFlight, at) {
+		c := p.popIdleLocked()
 		if c == nil {
 			break
 		}
-		p.removeNextLocked(at).granted <- grant{conn: c}
+		p.popWaiterLocked(at).granted <- grant{conn: c}
 	}
-	room := max(int(p.allowance.limit), 1) - p.inFlight
-	for p.dialing < min(len(p.waiters), room) && p.open < p.share.limit && !p.closed {
+	room := max(int(p.concurrency.limit), 1) - p.inFlight
+	for p.dialing < min(len(p.waiters), room) && p.open < p.quota.limit && !p.closed {
 		p.open++
 		p.dialing++
 		go p.dial()
 	}
 }
 
-// grantLaterLocked looks again when the pause after a refusal has passed.
-func (p *pool) grantLaterLocked(at time.Time) {
-	if len(p.waiters) == 0 || p.inFlight > 0 || p.grantDue || p.allowance.allows(0, at) {
+// scheduleGrantLocked calls grantLocked again when the pause after a decrease
+// of the concurrency limit has passed. It need not if statements are in flight,
+// because grantLocked is called after each answer.
+func (p *pool) scheduleGrantLocked(at time.Time) {
+	if len(p.waiters) == 0 || p.inFlight > 0 || p.grantTimerSet || p.concurrency.allows(0, at) {
 		return
 	}
-	p.grantDue = true
-	time.AfterFunc(p.allowance.pause()-at.Sub(p.allowance.cutAt), func() {
+	p.grantTimerSet = true
+	time.AfterFunc(p.concurrency.pauseAfterDecrease()-at.Sub(p.concurrency.decreasedAt), func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.grantDue = false
+		p.grantTimerSet = false
 		p.grantLocked()
 	})
 }
 
-func (p *pool) removeNextLocked(at time.Time) *waiter {
-	tickets := make([]ticket, len(p.waiters))
+func (p *pool) popWaiterLocked(at time.Time) *waiter {
+	urgencies := make([]urgency, len(p.waiters))
 	for i, w := range p.waiters {
-		tickets[i] = w.ticket
+		urgencies[i] = w.urgency
 	}
-	next := nextTicket(tickets, at)
+	next := mostUrgent(urgencies, at)
 	w := p.waiters[next]
 	p.waiters = append(p.waiters[:next], p.waiters[next+1:]...)
 	return w
 }
 
-// acquire returns a connection that counts as in flight, waiting for its turn
-// until the limit has passed or ctx ends. Its errors are *DialRefused, *fault.IO
-// and *Refusal; nothing has run.
-func (p *pool) acquire(ctx context.Context, t ticket, limit time.Duration) (*conn, error) {
-	c, w, err := p.join(t)
+// acquire returns a connection that counts as in flight. It waits for one until
+// maxWait has passed or ctx ends. Its errors are *DialRefused, *fault.IO and
+// *Refusal; nothing has run after an error.
+func (p *pool) acquire(ctx context.Context, u urgency, maxWait time.Duration) (*conn, error) {
+	c, w, err := p.acquireOrQueue(u)
 	if w == nil {
 		return c, err
 	}
@@ -180,38 +185,38 @@
 		return g.conn, g.err
 	default:
 	}
-	timer := time.NewTimer(limit)
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	select {
 	case g := <-w.granted:
 		return g.conn, g.err
 	case <-timer.C:
-		return p.abandon(w)
+		return p.cancelWait(w)
 	case <-ctx.Done():
-		return p.abandon(w)
+		return p.cancelWait(w)
 	}
 }
 
-// join returns a connection if there is one at once and nobody waits, and a
-// waiter otherwise.
-func (p *pool) join(t ticket) (*conn, *waiter, error) {
+// acquireOrQueue returns a connection if one is free and no statement waits, and
+// a queued waiter otherwise.
+func (p *pool) acquireOrQueue(u urgency) (*conn, *waiter, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
 		return nil, nil, upstreamGone()
 	}
-	if len(p.waiters) == 0 && p.allowance.allows(p.inFlight, now()) {
-		if c := p.takeLocked(); c != nil {
+	if len(p.waiters) == 0 && p.concurrency.allows(p.inFlight, now()) {
+		if c := p.popIdleLocked(); c != nil {
 			return c, nil, nil
 		}
 	}
-	w := &waiter{ticket: t, granted: make(chan grant, 1)}
+	w := &waiter{urgency: u, granted: make(chan grant, 1)}
 	p.waiters = append(p.waiters, w)
 	p.grantLocked()
 	return nil, w, nil
 }
 
-// Reasons of refusals by a pool.
+// Reasons for which a pool refuses a statement.
 const (
 	reasonUpstreamGone = "upstream_gone"
 	reasonNoTurn       = "no_turn"
@@ -219,8 +224,9 @@
 
 func upstreamGone() error { return &Refusal{Code: RefusedBusy, Reason: reasonUpstreamGone} }
 
-// abandon takes a waiter out; what it was granted meanwhile is used.
-func (p *pool) abandon(w *waiter) (*conn, error) {
+// cancelWait removes a waiter from the queue. If it has been granted a
+// connection or an error meanwhile, that is returned instead.
+func (p *pool) cancelWait(w *waiter) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, other := range p.waiters {
@@ -233,41 +239,43 @@
 	return g.conn, g.err
 }
 
-// idleLocked puts a connection back.
-func (p *pool) idleLocked(c *conn) {
-	p.leaveLocked(c)
-	c.idleAt = now()
+// putIdleLocked returns a connection to the idle ones.
+func (p *pool) putIdleLocked(c *conn) {
+	p.endInFlightLocked(c)
+	c.idleSince = now()
 	p.idle = append(p.idle, c)
 }
 
-func (p *pool) leaveLocked(c *conn) {
-	if c.counted {
-		c.counted = false
+func (p *pool) endInFlightLocked(c *conn) {
+	if c.countedInFlight {
+		c.countedInFlight = false
 		p.inFlight--
 	}
 }
 
-// rest keeps a connection for a transaction whose caller is to send the next
-// statement.
-func (p *pool) rest(c *conn) {
+// suspend keeps a connection for an open transaction but no longer counts it as
+// in flight while the caller has not sent the next statement.
+func (p *pool) suspend(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.leaveLocked(c)
+	p.endInFlightLocked(c)
 	p.grantLocked()
 }
 
-// resume counts a transaction's connection as in flight again. It doesn't wait:
-// a transaction that holds a connection shall end soon.
+// resume counts a transaction's connection as in flight again. It doesn't wait
+// for the concurrency limit, so that transactions that hold a connection end
+// soon.
 func (p *pool) resume(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !c.counted {
-		c.counted = true
+	if !c.countedInFlight {
+		c.countedInFlight = true
 		p.inFlight++
 	}
 }
 
-// dial opens a connection that grantLocked has counted as open.
+// dial opens a connection that grantLocked has already counted in open and
+// dialing.
 func (p *pool) dial() {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -280,7 +288,7 @@
 	p.dialing--
 	if err != nil {
 		p.open--
-		p.dialFailedLocked(err)
+		p.recordDialFailureLocked(err)
 		p.failWaitersLocked(err)
 		return
 	}
@@ -289,7 +297,7 @@
 		p.closeLocked(c)
 		return
 	}
-	p.idleLocked(c)
+	p.putIdleLocked(c)
 	p.grantLocked()
 }
 
@@ -297,8 +305,9 @@
 	return &conn{Conn: opened, pool: p, values: map[string]string{}, prepared: map[string]bool{}}
 }
 
-// failWaitersLocked lets those who wait choose another upstream, unless
-// connections remain that they can wait for.
+// failWaitersLocked ends the wait of all statements after a failed dial, so
+// that they can choose another upstream, unless other connections are open that
+// they can wait for.
 func (p *pool) failWaitersLocked(err error) {
 	if p.open > p.dialing {
 		return
@@ -309,11 +318,11 @@
 	p.waiters = nil
 }
 
-// closeLocked closes a connection that cannot be used again.
+// closeLocked closes a connection and stops counting it.
 func (p *pool) closeLocked(c *conn) {
-	p.leaveLocked(c)
+	p.endInFlightLocked(c)
 	p.open--
-	// The connection is lost in any case; its close error tells nothing.
+	// The connection is not used again, whether closing it fails or not.
 	_ = c.Close()
 }
 
@@ -322,28 +331,29 @@
 	p.grantLocked()
 }
 
-// release returns a connection whose last exchange was complete and that is in
-// no transaction.
+// release returns a connection to the pool. Its last exchange must be complete
+// and no transaction open on it.
 func (p *pool) release(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || p.open > p.share.limit {
+	if p.closed || p.open > p.quota.limit {
 		p.discardLocked(c)
 		return
 	}
-	p.idleLocked(c)
+	p.putIdleLocked(c)
 	p.grantLocked()
 }
 
-// discard closes a connection after a failure of a statement that was sent at
-// sentAt. Unless the upstream has answered another one since, its other idle
-// connections may have gone silent as well, so they are closed too.
+// discard closes a connection on which a statement that was sent at sentAt has
+// failed. Unless the upstream has answered anything since, the failure
+// counts against it, and its idle connections are closed too, because they may
+// be dead as well.
 func (p *pool) discard(c *conn, sentAt time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeLocked(c)
-	if !p.answeredAt.After(sentAt) {
-		p.failedLocked()
+	if !p.lastAnswerAt.After(sentAt) {
+		p.recordFailureLocked()
 		p.closeAllIdleLocked()
 	}
 	p.grantLocked()
@@ -356,27 +366,27 @@
 	p.idle = nil
 }
 
-// drop closes a connection that is in an unwanted state although the upstream
-// works.
-func (p *pool) drop(c *conn) {
+// discardUnclean closes a connection whose transaction could not be rolled
+// back. It does not count as a failure of the upstream, which has answered.
+func (p *pool) discardUnclean(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.discardLocked(c)
 }
 
-// closeIdle closes connections that were not used for a while. One stays open
-// for longer than the others: what many proxies hold in reserve is missing
-// after a loss of power, until the upstream has noticed the loss.
+// closeIdle closes connections that were unused for a while. All but one are
+// closed early: when hosts lose power, an upstream goes on counting the
+// connections of their proxies against its limit until it has noticed the loss.
 func (p *pool) closeIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.idle[:0]
 	for i, c := range p.idle {
-		limit := min(p.share.idle, surplusIdle)
+		maxIdle := min(p.quota.idleTimeout, surplusIdleTimeout)
 		if i == len(p.idle)-1 {
-			limit = p.share.idle
+			maxIdle = p.quota.idleTimeout
 		}
-		if since(c.idleAt) < limit {
+		if since(c.idleSince) < maxIdle {
 			kept = append(kept, c)
 			continue
 		}
@@ -385,7 +395,8 @@
 	p.idle = kept
 }
 
-// close closes idle connections now and the others when they are released.
+// close closes idle connections now, the others when they are released, and
+// ends the wait of all statements.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/proxy/prepared.go
+++ b/proxy/prepared.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// upstreamName is the name of the statement on upstream connections. It comes
-// from the definition, so that callers who use one name for different
-// statements can share a connection.
+// upstreamName returns the name of the prepared statement on upstream
+// connections. It is derived from the definition, so that callers who use the
+// same name for different statements can share a connection.
 func (p preparedStatement) upstreamName() string {
 	hash := xxhash.Sum64String(p.shape)
 	if p.readOnly {
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -20,47 +20,53 @@
 )
 
 const (
-	// sampleInterval is how old the newest sample of a group may get while
-	// reads need one. Twice that, after which the proxy asks by itself, is
-	// still below the ages that operators ask for.
+	// sampleInterval is the age at which the newest position sample of a
+	// group is replaced while reads need one. At twice that age the proxy
+	// asks the primary itself, which is still below the maximum ages that
+	// operators configure.
 	sampleInterval = 450 * time.Millisecond
-	sampleTick     = 100 * time.Millisecond
-	sampleTimeout  = 400 * time.Millisecond
-	// samplesWanted is how long after a read the samples are kept fresh.
-	samplesWanted = 5 * time.Second
-	// complainAfter is how long an upstream only fails before the proxy
-	// reports it.
-	complainAfter = 150 * time.Millisecond
-	// untriedAfter is how long ago a primary's last answer may be for the
-	// proxy to count as one that reaches it.
+	// sampleTick is the interval of the periodic work in Run.
+	sampleTick    = 100 * time.Millisecond
+	sampleTimeout = 400 * time.Millisecond
+	// sampleDemandWindow is how long after a read that needs a sample of a
+	// group its samples are kept fresh.
+	sampleDemandWindow = 5 * time.Second
+	// unreachableAfter is how long a primary must only fail before the proxy
+	// reports it as unreachable.
+	unreachableAfter = 150 * time.Millisecond
+	// untriedAfter is the time without an answer of a primary, nor a
+	// failure, after which the proxy reports that it does not know whether
+	// it can reach the primary.
 	untriedAfter = time.Second
 )
 
-// Options configure a Proxy.
+// Options are the settings and dependencies that New builds a Proxy from.
+// Regions, Positions, Log and Metrics are optional.
 type Options struct {
-	// Name differs between proxies, so that they divide the replicas among
-	// them.
+	// Name is unique among the proxies of a site. The proxies are spread over
+	// the replicas by a hash of their names.
 	Name       string
 	DataCentre string
-	// Regions is the region of each data centre.
+	// Regions maps each data centre to its region.
 	Regions map[string]string
 	Dialer  Dialer
-	// Positions returns what the primaries of groups held, as a control
-	// host knows it; nil if there is none to ask.
+	// Positions asks a control host for recent positions of the groups'
+	// primaries. It is nil if there is no control host to ask.
 	Positions func(ctx context.Context, groups []string) ([]GroupPosition, error)
 	Log       *slog.Logger
 	Metrics   tally.Scope
 }
 
-// Proxy serves sessions on the upstreams of a view. It is safe for concurrent
-// use.
+// Proxy runs the statements of sessions on the upstreams of its current view of
+// the site. It is safe for concurrent use.
 type Proxy struct {
-	o       Options
+	options Options
 	log     *slog.Logger
 	metrics tally.Scope
 	view    atomic.Pointer[site.View]
-	times   serviceTimes
-	// sampling lets one sample of a group be taken at a time.
+	times   operationTimes
+	// sampling lets one request for a sample run at a time for each group,
+	// and one to a control host.
 	sampling singleflight.Group
 
 	// mu guards the fields below.
@@ -69,26 +75,28 @@
 	groups map[string]*group
 }
 
-// poolKey names one process of an upstream.
+// poolKey identifies one process of an upstream, so that a restarted upstream
+// gets a new pool.
 type poolKey struct {
 	id, address string
 	bornMs      int64
 }
 
-// group is what the proxy has learned about one group.
+// group holds the position samples of one group of upstreams.
 type group struct {
 	positions positions
-	// wantedAt is when a read last needed a sample, in Unix nanoseconds of
-	// the boot clock.
-	wantedAt atomic.Int64
+	// lastDemandAt is when a read last needed a sample, in nanoseconds of the
+	// boot clock.
+	lastDemandAt atomic.Int64
 }
 
-// New returns a proxy with an empty view.
-func New(o Options) *Proxy {
+// New returns a proxy with an empty view, which refuses all sessions until
+// SetView.
+func New(options Options) *Proxy {
 	p := &Proxy{
-		o:       o,
-		log:     logging.For(o.Log, "proxy"),
-		metrics: metrics.OrNoop(o.Metrics).SubScope("proxy"),
+		options: options,
+		log:     logging.For(options.Log, "proxy"),
+		metrics: metrics.OrNoop(options.Metrics).SubScope("proxy"),
 		pools:   make(map[poolKey]*pool),
 		groups:  make(map[string]*group),
 	}
@@ -96,33 +104,35 @@
 	return p
 }
 
-// View returns the view in force.
+// View returns the view that the proxy uses now.
 func (p *Proxy) View() *site.View { return p.view.Load() }
 
-// SetView puts a newer view in force. Open transactions keep their upstream.
+// SetView replaces the view: it creates pools for new upstreams, updates the
+// others and closes those of upstreams that are gone. Open transactions keep
+// their upstream.
 func (p *Proxy) SetView(v *site.View) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	wanted := make(map[poolKey]bool)
+	inView := make(map[poolKey]bool)
 	for _, g := range v.Groups() {
-		part, home := connectionShare(g.MaxConnections, v.Proxies), homeShare(g, v.Proxies)
+		quota, home := equalQuota(g.MaxConnections, v.Proxies), homeQuota(g, v.Proxies)
 		homeID := p.homeReplica(g)
 		for _, u := range g.Upstreams {
 			key := keyOf(u)
-			wanted[key] = true
-			part := part
+			inView[key] = true
+			quota := quota
 			if u.Id == homeID {
-				part = home
+				quota = home
 			}
 			if existing, ok := p.pools[key]; ok {
-				existing.update(u, part)
+				existing.update(u, quota)
 				continue
 			}
-			p.pools[key] = newPool(p.o.Dialer, u, part)
+			p.pools[key] = newPool(p.options.Dialer, u, quota)
 		}
 	}
 	for key, old := range p.pools {
-		if !wanted[key] {
+		if !inView[key] {
 			old.close()
 			delete(p.pools, key)
 		}
@@ -166,7 +176,8 @@
 	return found, u, ok
 }
 
-// Run keeps samples fresh until ctx ends.
+// Run keeps position samples fresh, checks upstreams that stalled or failed and
+// closes idle connections until ctx ends.
 func (p *Proxy) Run(ctx context.Context) {
 	var tasks conc.WaitGroup
 	defer tasks.Wait()
@@ -178,22 +189,23 @@
 		case <-ctx.Done():
 			return
 		}
-		for _, pl := range p.checksDue() {
+		for _, pl := range p.claimChecks() {
 			tasks.Go(func() { pl.check(ctx) })
 		}
 		if due := p.samplesDue(); len(due) > 0 {
-			tasks.Go(func() { p.refresh(ctx, due) })
+			tasks.Go(func() { p.refreshSamples(ctx, due) })
 		}
 		p.closeIdle()
 	}
 }
 
-// checksDue lists the pools whose upstreams should be checked now.
-func (p *Proxy) checksDue() []*pool {
+// claimChecks returns the pools whose upstreams should be checked now. The
+// caller must call check on each.
+func (p *Proxy) claimChecks() []*pool {
 	var due []*pool
 	for _, g := range p.View().Groups() {
 		for _, u := range g.Upstreams {
-			if pl, ok := p.pool(u); ok && pl.checkDue(u.Id == g.Primary) {
+			if pl, ok := p.pool(u); ok && pl.claimCheck(u.Id == g.Primary) {
 				due = append(due, pl)
 			}
 		}
@@ -211,39 +223,40 @@
 	return due
 }
 
-// refresh gets new samples from a control host, and asks the primaries itself
-// where that has brought none.
-func (p *Proxy) refresh(ctx context.Context, groups []string) {
+// refreshSamples gets new samples of groups from a control host. It asks the
+// primary itself for each group whose samples are too old afterwards.
+func (p *Proxy) refreshSamples(ctx context.Context, groups []string) {
 	_, _, _ = p.sampling.Do("", func() (any, error) {
-		p.askControl(ctx, groups)
+		p.sampleFromControl(ctx, groups)
 		return nil, nil
 	})
 	for _, name := range groups {
 		if p.group(name).positions.newestAge() > 2*sampleInterval {
-			p.sample(ctx, name)
+			p.samplePrimary(ctx, name)
 		}
 	}
 }
 
-// askControl adds the samples of a control host.
-func (p *Proxy) askControl(ctx context.Context, groups []string) {
-	if p.o.Positions == nil {
+// sampleFromControl adds the samples that a control host returns.
+func (p *Proxy) sampleFromControl(ctx context.Context, groups []string) {
+	if p.options.Positions == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, sampleTimeout)
 	defer cancel()
-	known, err := p.o.Positions(ctx, groups)
+	positions, err := p.options.Positions(ctx, groups)
 	if err != nil {
 		p.metrics.Counter("positions_failed_total").Inc(1)
 		return
 	}
-	for _, k := range known {
-		p.group(k.Group).positions.add(k.Position, k.AskedAt)
+	for _, position := range positions {
+		p.group(position.Group).positions.add(position.Position, position.AskedAt)
 	}
 }
 
-// GroupPosition says that a group's primary held a position, and so every
-// commit that was acknowledged before AskedAt.
+// GroupPosition is a position that the leading primary of a group reported. It
+// includes every commit that was acknowledged before the request for it was
+// sent at AskedAt.
 type GroupPosition struct {
 	Group    string
 	Position upstream.Position
@@ -255,63 +268,64 @@
 	if g.positions.newestAge() < sampleInterval {
 		return false
 	}
-	return wanted(g)
+	return inDemand(g)
 }
 
-// sample waits for a sample that was asked for after the call began, or for
-// one that is being taken already.
-func (p *Proxy) sample(ctx context.Context, name string) {
+// samplePrimary adds a sample of a group from its primary. If another call for
+// the group is under way, it waits for that one instead.
+func (p *Proxy) samplePrimary(ctx context.Context, name string) {
 	_, _, _ = p.sampling.Do(name, func() (any, error) {
-		p.takeSample(ctx, name)
+		p.requestSample(ctx, name)
 		return nil, nil
 	})
 }
 
-// takeSample asks a group's primary for its position. Opening a transaction
-// needs no slot and proves that it leads.
-func (p *Proxy) takeSample(ctx context.Context, name string) {
+// requestSample asks a group's primary for its position by opening a
+// transaction, which needs no slot and succeeds only if the upstream leads.
+func (p *Proxy) requestSample(ctx context.Context, name string) {
 	g := p.group(name)
 	pl, _, ok := p.primaryPool(name)
 	if !ok {
 		return
 	}
-	c, err := pl.acquire(ctx, urgent(), sampleTimeout)
+	c, err := pl.acquire(ctx, highestUrgency(), sampleTimeout)
 	if err != nil {
 		p.metrics.Counter("samples_failed_total").Inc(1)
 		return
 	}
-	askedAt := now()
+	sentAt := now()
 	answers, err := c.Exchange(time.Now().Add(sampleTimeout), Command{Kind: CommandBegin}, Command{Kind: CommandRollback})
 	if err != nil {
 		p.metrics.Counter("samples_failed_total").Inc(1)
-		pl.discard(c, askedAt)
+		pl.discard(c, sentAt)
 		return
 	}
-	pl.answered(now().Sub(askedAt))
+	pl.recordAnswer(now().Sub(sentAt))
 	if answers[0].Code == CodeNone {
-		g.positions.add(answers[0].Position, askedAt)
+		g.positions.add(answers[0].Position, sentAt)
 	}
-	p.finish(c, answers[len(answers)-1])
+	p.returnConn(c, answers[len(answers)-1])
 }
 
-// finish returns a connection after its last answer. An open or failed
-// transaction is rolled back first: a new connection would cost the upstream
-// far more.
-func (p *Proxy) finish(c *conn, last Answer) {
+// returnConn returns a connection to its pool after the last answer on it. An
+// open or failed transaction is rolled back first, because closing the
+// connection and opening a new one would cost the upstream far more.
+func (p *Proxy) returnConn(c *conn, last Answer) {
 	if last.State == StateIdle {
 		c.pool.release(c)
 		return
 	}
-	p.rollBack(c)
+	p.rollBackAndReturn(c)
 }
 
 // rollbackTimeout bounds a rollback, which needs no slot. A connection that
-// does not answer is closed, which rolls back as well.
+// does not answer in time is closed, which also rolls the transaction back.
 const rollbackTimeout = time.Second
 
-// rollBack rolls back and returns a connection without making anyone wait.
-func (p *Proxy) rollBack(c *conn) {
-	c.pool.rest(c)
+// rollBackAndReturn rolls back the transaction of a connection and then returns
+// the connection to its pool. It does not block.
+func (p *Proxy) rollBackAndReturn(c *conn) {
+	c.pool.suspend(c)
 	go func() {
 		sentAt := now()
 		answers, err := c.Exchange(time.Now().Add(rollbackTimeout), Command{Kind: CommandRollback})
@@ -320,7 +334,7 @@
 			return
 		}
 		if answers[0].State != StateIdle {
-			c.pool.drop(c)
+			c.pool.discardUnclean(c)
 			return
 		}
 		c.pool.release(c)
@@ -339,14 +353,14 @@
 	}
 }
 
-// Reach lists the primaries that this proxy cannot reach, and those that it has
-// had nothing to ask lately, so that it doesn't know.
+// Reach returns the ids of the primaries that this proxy cannot reach, and of
+// those that it has lately sent nothing to and so can't tell.
 func (p *Proxy) Reach() (unreachable, untried []string) {
 	for _, g := range p.View().Groups() {
 		pl, u, ok := p.primaryPool(g.Name)
 		switch {
 		case !ok:
-		case pl.unreachableFor() > complainAfter:
+		case pl.unreachableFor() > unreachableAfter:
 			unreachable = append(unreachable, u.Id)
 		case pl.sinceAnswer() > untriedAfter:
 			untried = append(untried, u.Id)
@@ -357,8 +371,8 @@
 	return unreachable, untried
 }
 
-// beyond returns the later of two positions.
-func beyond(a, b upstream.Position) upstream.Position {
+// laterPosition returns the later of two positions.
+func laterPosition(a, b upstream.Position) upstream.Position {
 	if a.Before(b) {
 		return b
 	}
--- a/proxy/read.go
+++ b/proxy/read.go
@@ -9,61 +9,63 @@
 	"lovageslip/upstream"
 )
 
-// readPlan is what one read has met so far.
-type readPlan struct {
+// readProgress is what the attempts of one read leave to the next ones: the
+// upstreams to exclude and how often the read ran and failed.
+type readProgress struct {
 	excluded map[string]bool // nil until an upstream is excluded
 	reruns   int
 }
 
-func (p *readPlan) exclude(id string) {
+func (p *readProgress) exclude(id string) {
 	if p.excluded == nil {
 		p.excluded = make(map[string]bool)
 	}
 	p.excluded[id] = true
 }
 
-func (s *Session) runRead(ctx context.Context, w work, route *pb.SiteRoute) Reply {
-	plan := &readPlan{}
-	return s.repeat(ctx, w.statement, func() attempt {
-		if !mayBeOld(route) {
-			return s.readLatest(ctx, w, route, plan)
+func (s *Session) runRead(ctx context.Context, stmt resolvedStatement, route *pb.SiteRoute) Reply {
+	progress := &readProgress{}
+	return s.retryUntilFinal(ctx, stmt.statement, func() attempt {
+		if !replicaAllowed(route) {
+			return s.readLatest(ctx, stmt, route, progress)
 		}
-		return s.readAged(ctx, w, route, plan)
+		return s.readAllowingReplica(ctx, stmt, route, progress)
 	})
 }
 
-// mayBeOld reports whether a replica may serve the reads of a route.
-func mayBeOld(route *pb.SiteRoute) bool {
+// replicaAllowed reports whether a replica may serve the reads of a route.
+func replicaAllowed(route *pb.SiteRoute) bool {
 	return route.Freshness == pb.Freshness_FRESHNESS_BOUNDED || route.Freshness == pb.Freshness_FRESHNESS_OWN_WRITES
 }
 
-// target is where a read that may be old can go.
+// target is the upstream for a read that a replica may serve.
 type target struct {
 	candidate
-	// after is what a replica must hold; unused at the primary.
+	// after is the position that a replica must hold; unused at the primary.
 	after upstream.Position
 }
 
-// chooseTarget picks the upstream for a read or a read-only transaction. It
-// returns a reason if there is none now.
-func (s *Session) chooseTarget(ctx context.Context, route *pb.SiteRoute, plan *readPlan) (target, *attempt) {
+// chooseTarget chooses the upstream for a read or a read-only transaction that
+// a replica may serve. If there is none now, it returns the attempt to retry
+// with.
+func (s *Session) chooseTarget(ctx context.Context, route *pb.SiteRoute, progress *readProgress) (target, *attempt) {
 	view, ok := s.proxy.View().Group(route.Group)
 	if !ok || len(view.Upstreams) == 0 {
-		a := retry(fault.ReasonNoUpstream, jitter(noPrimaryPause))
+		a := retry(fault.ReasonNoUpstream, jitter(noPrimaryBackoff))
 		return target{}, &a
 	}
-	floor, known := s.floor(ctx, route)
-	c, ok := s.proxy.chooseForRead(view, floor, plan.excluded)
-	if !known {
+	minPosition, found := s.minPosition(ctx, route)
+	c, ok := s.proxy.chooseForRead(view, minPosition, progress.excluded)
+	if !found {
 		// Only the primary can prove that its data are fresh enough.
 		c, ok = s.primaryCandidate(route.Group)
 	}
 	if !ok {
-		clear(plan.excluded)
-		a := retry(reasonNoUpstreamFits, jitter(busyPause))
+		clear(progress.excluded)
+		a := retry(reasonNoUpstreamFits, jitter(busyBackoff))
 		return target{}, &a
 	}
-	return target{candidate: c, after: floor}, nil
+	return target{candidate: c, after: minPosition}, nil
 }
 
 func (s *Session) primaryCandidate(group string) (candidate, bool) {
@@ -71,138 +73,141 @@
 	return candidate{upstream: u, pool: pl, primary: true}, ok
 }
 
-// floor returns the position that an upstream must hold for the route.
-func (s *Session) floor(ctx context.Context, route *pb.SiteRoute) (upstream.Position, bool) {
+// minPosition returns the position that an upstream must hold for reads of the
+// route. It reports false if no recent enough position is known.
+func (s *Session) minPosition(ctx context.Context, route *pb.SiteRoute) (upstream.Position, bool) {
 	g := s.proxy.group(route.Group)
-	g.want()
-	floor, ok := g.positions.floor(age(route))
+	g.recordDemand()
+	position, ok := g.positions.minPosition(maxAge(route))
 	if !ok {
-		s.proxy.refresh(ctx, []string{route.Group})
-		floor, ok = g.positions.floor(age(route))
+		s.proxy.refreshSamples(ctx, []string{route.Group})
+		position, ok = g.positions.minPosition(maxAge(route))
 	}
 	if route.Freshness == pb.Freshness_FRESHNESS_OWN_WRITES {
-		floor = beyond(floor, s.written)
+		position = laterPosition(position, s.written)
 	}
-	return floor, ok
+	return position, ok
 }
 
-func (s *Session) readAged(ctx context.Context, w work, route *pb.SiteRoute, plan *readPlan) attempt {
-	t, failed := s.chooseTarget(ctx, route, plan)
+func (s *Session) readAllowingReplica(ctx context.Context, stmt resolvedStatement, route *pb.SiteRoute, progress *readProgress) attempt {
+	t, failed := s.chooseTarget(ctx, route, progress)
 	if failed != nil {
 		return *failed
 	}
 	if t.primary {
-		return s.readLatest(ctx, w, route, plan)
+		return s.readLatest(ctx, stmt, route, progress)
 	}
-	c, err := t.pool.acquire(ctx, s.ticket(route), turnSlice)
+	c, err := t.pool.acquire(ctx, s.urgency(route), queueTimeout)
 	if err != nil {
-		return s.notAcquired(err, plan, t.upstream.Id)
+		return s.readAcquireFailed(err, progress, t.upstream.Id)
 	}
-	command := w.forward()
+	command := stmt.command()
 	command.After = t.after
-	startedAt := now()
-	answers, err := exchange(c, time.Now().Add(patience(t.pool, route)), s.setUp(c, w), command)
+	sentAt := now()
+	answers, err := exchange(c, time.Now().Add(readTimeout(t.pool, route)), s.setUp(c, stmt), command)
 	if err == nil && answers[0].Code == CodeNone {
-		t.pool.caughtUp()
+		t.pool.recordCaughtUp()
 	}
-	a := s.readAnswered(c, w, plan, startedAt, answers, err)
+	a := s.finishRead(c, stmt, progress, sentAt, answers, err)
 	a.after = t.after
 	return a
 }
 
-// turnSlice is how long a read waits for its turn at one upstream before it
-// chooses again.
-const turnSlice = 60 * time.Millisecond
+// queueTimeout is how long a read waits for a connection to one upstream before
+// it chooses again.
+const queueTimeout = 60 * time.Millisecond
 
-// notAcquired excludes an upstream that cannot be reached from the next choice.
-// One that is only busy is judged by its expected wait.
-func (s *Session) notAcquired(err error, plan *readPlan, id string) attempt {
-	a := notAcquired(err)
+// readAcquireFailed excludes an upstream that gave no connection from the next
+// choice, unless the read only waited too long for one: then the expected wait
+// decides.
+func (s *Session) readAcquireFailed(err error, progress *readProgress, id string) attempt {
+	a := acquireFailed(err)
 	if a.reason == reasonNoTurn {
 		a.wait = 0
 		return a
 	}
-	plan.exclude(id)
+	progress.exclude(id)
 	return a
 }
 
-// readAnswered handles the answers to a read, the first of which is its own. A
-// read may run again, since it changes nothing.
-func (s *Session) readAnswered(c *conn, w work, plan *readPlan, startedAt time.Time, answers []Answer, err error) attempt {
+// finishRead handles the answers to a read, the first of which is that of the
+// read itself. A failed read may run again because it changes nothing.
+func (s *Session) finishRead(c *conn, stmt resolvedStatement, progress *readProgress, sentAt time.Time, answers []Answer, err error) attempt {
 	if err != nil {
-		c.pool.discard(c, startedAt)
-		plan.exclude(c.pool.id())
+		c.pool.discard(c, sentAt)
+		progress.exclude(c.pool.id())
 		return retry(reasonConnectionLost, 0)
 	}
 	a, last := answers[0], answers[len(answers)-1]
-	c.pool.noteAnswer(a.Code, now().Sub(startedAt))
+	c.pool.recordStatement(a.Code, now().Sub(sentAt))
 	switch {
 	case a.Code.NotRun():
-		plan.exclude(c.pool.id())
+		progress.exclude(c.pool.id())
 		return s.notRun(c, Answer{Code: a.Code, State: last.State, Position: a.Position})
-	case a.Code != CodeNone && plan.reruns < maxReruns:
-		plan.reruns++
-		plan.exclude(c.pool.id())
-		s.proxy.finish(c, last)
+	case a.Code != CodeNone && progress.reruns < maxReruns:
+		progress.reruns++
+		progress.exclude(c.pool.id())
+		s.proxy.returnConn(c, last)
 		return retry(reasonReadFailed, 0)
 	}
-	s.proxy.finish(c, last)
-	s.served(w.statement, c, now().Sub(startedAt), a)
+	s.proxy.returnConn(c, last)
+	s.recordServed(stmt.statement, c, now().Sub(sentAt), a)
 	return answered(a)
 }
 
-// readLatest reads at the primary inside a transaction of the proxy's own: an
-// upstream that has lost the lead refuses the read there.
-func (s *Session) readLatest(ctx context.Context, w work, route *pb.SiteRoute, plan *readPlan) attempt {
-	c, failed := s.openAtPrimary(ctx, w, route)
+// readLatest reads at the primary inside a transaction that the proxy opens for
+// it, because an upstream that no longer leads refuses the read there.
+func (s *Session) readLatest(ctx context.Context, stmt resolvedStatement, route *pb.SiteRoute, progress *readProgress) attempt {
+	c, failed := s.beginAtPrimary(ctx, stmt, route)
 	if failed != nil {
 		return *failed
 	}
-	startedAt := now()
-	answers, err := exchange(c, time.Now().Add(patience(c.pool, route)), nil, w.forward(), Command{Kind: CommandRollback})
+	sentAt := now()
+	answers, err := exchange(c, time.Now().Add(readTimeout(c.pool, route)), nil, stmt.command(), Command{Kind: CommandRollback})
 	if err == nil && answers[0].Code == CodeNone {
-		s.proxy.group(route.Group).positions.add(answers[0].Position, startedAt)
+		s.proxy.group(route.Group).positions.add(answers[0].Position, sentAt)
 	}
-	return s.readAnswered(c, w, plan, startedAt, answers, err)
+	return s.finishRead(c, stmt, progress, sentAt, answers, err)
 }
 
-// openAtPrimary returns a connection on which a transaction at the leading
-// primary is open. The transaction is opened before anything else is sent,
-// because behind a refused one a statement would run outside of it.
-func (s *Session) openAtPrimary(ctx context.Context, w work, route *pb.SiteRoute) (*conn, *attempt) {
+// beginAtPrimary opens a transaction at the leading primary and returns its
+// connection. The statement is sent only after the transaction was opened: if
+// they were sent together and the transaction refused, the statement would run
+// outside of it.
+func (s *Session) beginAtPrimary(ctx context.Context, stmt resolvedStatement, route *pb.SiteRoute) (*conn, *attempt) {
 	pl, _, ok := s.proxy.primaryPool(route.Group)
 	if !ok {
-		a := retry(reasonNoPrimary, jitter(noPrimaryPause))
+		a := retry(reasonNoPrimary, jitter(noPrimaryBackoff))
 		return nil, &a
 	}
-	return s.openTransaction(ctx, pl, w, route, Command{Kind: CommandBegin})
+	return s.beginTransaction(ctx, pl, stmt, route, Command{Kind: CommandBegin})
 }
 
-func (s *Session) openTransaction(ctx context.Context, pl *pool, w work, route *pb.SiteRoute, begin Command) (*conn, *attempt) {
-	c, err := pl.acquire(ctx, s.ticket(route), timeout(route))
+func (s *Session) beginTransaction(ctx context.Context, pl *pool, stmt resolvedStatement, route *pb.SiteRoute, begin Command) (*conn, *attempt) {
+	c, err := pl.acquire(ctx, s.urgency(route), timeout(route))
 	if err != nil {
-		a := notAcquired(err)
+		a := acquireFailed(err)
 		return nil, &a
 	}
-	askedAt := now()
-	answers, err := exchange(c, time.Now().Add(openPatience), s.setUp(c, w), begin)
+	sentAt := now()
+	answers, err := exchange(c, time.Now().Add(beginTimeout), s.setUp(c, stmt), begin)
 	if err != nil {
-		pl.discard(c, askedAt)
-		// Nothing that takes effect has been sent.
+		pl.discard(c, sentAt)
+		// Nothing that could take effect has been sent.
 		a := retry(reasonConnectionLost, 0)
 		return nil, &a
 	}
-	pl.answered(now().Sub(askedAt))
+	pl.recordAnswer(now().Sub(sentAt))
 	if answers[0].Code != CodeNone {
 		a := s.notRun(c, answers[0])
 		return nil, &a
 	}
 	if begin.Kind == CommandBegin {
-		s.proxy.group(route.Group).positions.add(answers[0].Position, askedAt)
+		s.proxy.group(route.Group).positions.add(answers[0].Position, sentAt)
 	}
 	return c, nil
 }
 
-// openPatience is how long an upstream is given to open a transaction, which
-// needs no slot. It covers a lost packet that is sent again.
-const openPatience = 500 * time.Millisecond
+// beginTimeout is how long an upstream is given to open a transaction, which
+// needs no slot. It covers the retransmission of a lost packet.
+const beginTimeout = 500 * time.Millisecond
--- a/proxy/session.go
+++ b/proxy/session.go
@@ -16,7 +16,8 @@
 	maxPrepared = 1024
 )
 
-// Session is one caller's session. It is used by one goroutine at a time.
+// Session is one caller's session on a database. It must be used by one
+// goroutine at a time.
 type Session struct {
 	proxy    *Proxy
 	database string
@@ -28,8 +29,9 @@
 
 	state TransactionState
 	tx    *transaction // nil unless a transaction is open or failed
-	// begunAt is when the caller's operation began.
-	begunAt time.Time
+	// operationStart is when the caller's operation began: the transaction,
+	// or the single statement.
+	operationStart time.Time
 }
 
 type preparedStatement struct {
@@ -37,7 +39,8 @@
 	shape    string
 }
 
-// Open starts a session on a database; it fails if no route has it.
+// Open starts a session on a database. It refuses if the view has no route for
+// the database.
 func (p *Proxy) Open(database string) (*Session, *Refusal) {
 	if _, ok := p.View().Route(database); !ok {
 		return nil, &Refusal{Code: RefusedNoDatabase, Reason: "no_database"}
@@ -54,10 +57,11 @@
 // State returns the state of the session's transaction.
 func (s *Session) State() TransactionState { return s.state }
 
-// Do runs one statement. The reply is final.
+// Do runs one statement, with as many attempts as it needs, and returns the
+// final reply.
 func (s *Session) Do(ctx context.Context, st *Statement) Reply {
 	if s.tx == nil {
-		s.begunAt = now()
+		s.operationStart = now()
 	}
 	reply := s.do(ctx, st)
 	reply.State = s.state
@@ -125,29 +129,31 @@
 	return Reply{}
 }
 
-// work is a statement together with what it needs of an upstream connection.
-type work struct {
+// resolvedStatement is a statement with the definition of the prepared
+// statement that it executes, if any.
+type resolvedStatement struct {
 	statement *Statement
-	reads     bool
+	readOnly  bool
 	prepared  *preparedStatement
 }
 
-func (s *Session) work(st *Statement) (work, *Refusal) {
-	w := work{statement: st, reads: st.Kind == KindRead}
+func (s *Session) resolve(st *Statement) (resolvedStatement, *Refusal) {
+	stmt := resolvedStatement{statement: st, readOnly: st.Kind == KindRead}
 	if st.Kind != KindExecute {
-		return w, nil
+		return stmt, nil
 	}
 	prepared, ok := s.prepared[st.Name]
 	if !ok {
-		return w, &Refusal{Code: RefusedNoStatement, Reason: "not_prepared"}
+		return stmt, &Refusal{Code: RefusedNoStatement, Reason: "not_prepared"}
 	}
-	w.prepared, w.reads = &prepared, prepared.readOnly
-	return w, nil
+	stmt.prepared, stmt.readOnly = &prepared, prepared.readOnly
+	return stmt, nil
 }
 
-// run runs a read or a write, alone or in the open transaction.
+// run runs a read, a write or a prepared statement, alone or in the open
+// transaction.
 func (s *Session) run(ctx context.Context, st *Statement) Reply {
-	w, refusal := s.work(st)
+	stmt, refusal := s.resolve(st)
 	if refusal != nil {
 		s.failTransaction()
 		return Reply{Refusal: refusal}
@@ -155,36 +161,37 @@
 	route, ok := s.proxy.View().Route(s.database)
 	switch {
 	case s.tx != nil:
-		return s.runInTransaction(ctx, w)
+		return s.runInTransaction(ctx, stmt)
 	case !ok:
 		return refuse(RefusedNoDatabase, "no_database")
-	case w.reads:
-		return s.runRead(ctx, w, route)
+	case stmt.readOnly:
+		return s.runRead(ctx, stmt, route)
 	default:
-		return s.runWrite(ctx, w, route)
+		return s.runWrite(ctx, stmt, route)
 	}
 }
 
-// setUp returns the commands that give a connection the session's values and
-// the prepared statement that w needs.
-func (s *Session) setUp(c *conn, w work) []Command {
+// setUp returns the commands that give a connection the session's values and the
+// prepared statement that is executed.
+func (s *Session) setUp(c *conn, stmt resolvedStatement) []Command {
 	var commands []Command
 	if !maps.Equal(c.values, s.values) {
 		commands = s.setValues(c)
 	}
-	if w.prepared == nil {
+	if stmt.prepared == nil {
 		return commands
 	}
-	name := w.prepared.upstreamName()
+	name := stmt.prepared.upstreamName()
 	if !c.prepared[name] {
-		commands = append(commands, Command{Kind: CommandPrepare, Name: name, Value: w.prepared.shape, ReadOnly: w.prepared.readOnly})
+		commands = append(commands, Command{Kind: CommandPrepare, Name: name, Value: stmt.prepared.shape, ReadOnly: stmt.prepared.readOnly})
 		c.prepared[name] = true
 	}
 	return commands
 }
 
-// setValues makes the connection's values those of the session. A value that
-// the session lacks can only be cleared together with all others.
+// setValues returns the commands that make the connection's values those of the
+// session. A value that the session lacks can only be cleared together with all
+// others.
 func (s *Session) setValues(c *conn) []Command {
 	var commands []Command
 	for name := range c.values {
@@ -204,21 +211,22 @@
 	return commands
 }
 
-// forward is the command that runs the caller's statement.
-func (w work) forward() Command {
-	command := Command{Kind: CommandForward, Statement: w.statement}
-	if w.prepared != nil {
-		command.Name = w.prepared.upstreamName()
+// command returns the command that runs the caller's statement.
+func (stmt resolvedStatement) command() Command {
+	command := Command{Kind: CommandForward, Statement: stmt.statement}
+	if stmt.prepared != nil {
+		command.Name = stmt.prepared.upstreamName()
 	}
 	return command
 }
 
-// exchange sends the set-up and the commands together, and returns the answers
-// to the commands. A set-up that is refused makes the connection unusable.
+// exchange sends the set-up commands and the commands together, and returns the
+// answers to the commands. A refused set-up command makes the connection
+// unusable.
 func exchange(c *conn, deadline time.Time, setUp []Command, commands ...Command) ([]Answer, error) {
 	c.commands = append(append(c.commands[:0], setUp...), commands...)
 	answers, err := c.Exchange(deadline, c.commands...)
-	// The buffer must not keep the caller's statement alive.
+	// The buffer must not keep the caller's statement from being freed.
 	clear(c.commands)
 	if err != nil {
 		return nil, err
@@ -231,8 +239,9 @@
 	return answers[len(setUp):], nil
 }
 
-// SetUpRefused reports an upstream that refused a session value or a prepared
-// statement. Statements sent behind it may have run.
+// SetUpRefused reports that an upstream refused to set a session value or to
+// prepare a statement. Statements that were sent behind that command may have
+// run.
 type SetUpRefused struct {
 	Upstream string
 	Command  CommandKind
@@ -240,33 +249,33 @@
 }
 
 func (e *SetUpRefused) Error() string {
-	return "upstream " + e.Upstream + " refused a session's set-up: " + e.Code.String()
+	return "upstream " + e.Upstream + " refused to set session values or prepare a statement: " + e.Code.String()
 }
 
 // Close ends the session and rolls an open transaction back.
 func (s *Session) Close() { s.endTransaction() }
 
-// ticket says how urgent the caller's operation is.
-func (s *Session) ticket(route *pb.SiteRoute) ticket {
-	return ticket{
-		arrivedAt: s.begunAt,
+// urgency returns the urgency of the caller's operation.
+func (s *Session) urgency(route *pb.SiteRoute) urgency {
+	return urgency{
+		arrivedAt: s.operationStart,
 		target:    time.Duration(route.TargetMs) * time.Millisecond,
 		priority:  route.Priority,
-		expected:  s.proxy.times.expected(s.workKind()),
+		expected:  s.proxy.times.expected(s.operationKind()),
 	}
 }
 
-// workKind names work that takes about the same time: the single statements or
-// the transactions of one database.
-func (s *Session) workKind() string {
+// operationKind returns the key of the mean time of operations like the session's
+// current one: the single statements or the transactions of one database.
+func (s *Session) operationKind() string {
 	if s.tx != nil {
 		return s.database + " transaction"
 	}
 	return s.database
 }
 
-// age is how old the data of a read may be.
-func age(route *pb.SiteRoute) time.Duration { return time.Duration(route.AgeMs) * time.Millisecond }
+// maxAge returns how old the data of a route's reads may be.
+func maxAge(route *pb.SiteRoute) time.Duration { return time.Duration(route.AgeMs) * time.Millisecond }
 
 func timeout(route *pb.SiteRoute) time.Duration {
 	return time.Duration(route.TimeoutMs) * time.Millisecond
--- a/proxy/share.go
+++ b/proxy/share.go
@@ -9,74 +9,76 @@
 	"lovageslip/site"
 )
 
-// share is a proxy's share of the connections of one upstream.
-type share struct {
-	// limit is how many it may have open.
+// connectionQuota is a proxy's part of the connections of one upstream.
+type connectionQuota struct {
+	// limit is how many connections the proxy may have open.
 	limit int
-	// idle is how long an unused one stays open.
-	idle time.Duration
-	// scarce is set where opening a connection must be expected. It is not
-	// at a home replica, so that reads begin to go there.
+	// idleTimeout is how long an unused connection stays open.
+	idleTimeout time.Duration
+	// scarce is set if a proxy often has to open a connection first, so
+	// that the time for it is added to the expected wait. It is not set at
+	// the home replica, so that reads prefer it.
 	scarce bool
 }
 
 const (
 	// reservedConnections of an upstream are kept for the control hosts.
 	reservedConnections = 4
-	// idleLimit is below the time after which servers close idle
+	// idleTimeout is below the time after which servers close idle
 	// connections.
-	idleLimit = 45 * time.Second
-	// scarceLimit and scarceIdle apply where there are too few connections
-	// for each proxy to keep its own. A proxy opens one when it needs it,
-	// and gives it up soon after. A read and a transaction can then go on
-	// side by side.
-	scarceLimit = 2
-	scarceIdle  = 800 * time.Millisecond
-	// homeFraction of a replica's connections may be kept by the proxies
-	// whose home it is. The rest is for those that come from elsewhere
-	// while another upstream fails.
+	idleTimeout = 45 * time.Second
+	// scarceConnections and scarceIdleTimeout apply where there are too few
+	// connections for each proxy to keep its own. A proxy opens one when it
+	// needs it and closes it soon after. Two connections let a read and a
+	// transaction run side by side.
+	scarceConnections = 2
+	scarceIdleTimeout = 800 * time.Millisecond
+	// homeFraction is the share of a replica's connections that the proxies
+	// whose home it is may keep open. The rest is for proxies whose own home
+	// replica fails.
 	homeFraction = 0.8
 )
 
-// connectionShare divides the connections of an upstream among the proxies.
-func connectionShare(connections, proxies int) share {
+// equalQuota divides the connections of an upstream equally among the proxies.
+func equalQuota(connections, proxies int) connectionQuota {
 	each := (connections - reservedConnections) / max(proxies, 1)
-	if each < scarceLimit {
-		return share{limit: scarceLimit, idle: scarceIdle, scarce: true}
+	if each < scarceConnections {
+		return connectionQuota{limit: scarceConnections, idleTimeout: scarceIdleTimeout, scarce: true}
 	}
-	return share{limit: each, idle: idleLimit}
+	return connectionQuota{limit: each, idleTimeout: idleTimeout}
 }
 
-// homeShare is a proxy's share at its home replica, where it keeps a connection
-// if those of the other proxies at home there leave room for it.
-func homeShare(g *site.GroupView, proxies int) share {
-	part := connectionShare(g.MaxConnections, proxies)
-	part.scarce = false
+// homeQuota returns a proxy's quota at its home replica. The proxy keeps a
+// connection open there if there are enough for all proxies with the same home.
+func homeQuota(g *site.GroupView, proxies int) connectionQuota {
+	quota := equalQuota(g.MaxConnections, proxies)
+	quota.scarce = false
 	atHome := float64(proxies) / float64(max(len(replicas(g)), 1))
 	if atHome <= homeFraction*float64(g.MaxConnections-reservedConnections) {
-		part.idle = idleLimit
+		quota.idleTimeout = idleTimeout
 	}
-	return part
+	return quota
 }
 
-// homeReplica returns the replica of a group that the proxy prefers where
-// connections are scarce; empty if there is none. It is one of the nearest. Each
-// of these gets an equal part of the proxies, and the loss of one moves only
-// those that were at home there.
+// homeReplica returns the id of the replica of a group that the proxy prefers
+// where connections are scarce; empty if the group has no replica. It is chosen
+// among the nearest by rendezvous hashing, which spreads the proxies evenly
+// over them, and the loss of a replica moves only the proxies whose home it
+// was.
 func (p *Proxy) homeReplica(g *site.GroupView) string {
 	var home *pb.SiteUpstream
 	var nearest distance
-	var highest uint64
+	var highestScore uint64
 	for _, u := range replicas(g) {
-		d, weight := p.distanceTo(u), xxhash.Sum64String(p.o.Name+" "+u.Id)
-		if home == nil || d < nearest || (d == nearest && weight > highest) {
-			home, nearest, highest = u, d, weight
+		d, score := p.distanceTo(u), xxhash.Sum64String(p.options.Name+" "+u.Id)
+		if home == nil || d < nearest || (d == nearest && score > highestScore) {
+			home, nearest, highestScore = u, d, score
 		}
 	}
 	return home.GetId()
 }
 
-// distance is how far away an upstream is.
+// distance ranks upstreams by how far away they are, the nearest first.
 type distance int
 
 const (
@@ -86,18 +88,19 @@
 )
 
 func (p *Proxy) distanceTo(u *pb.SiteUpstream) distance {
-	region, known := p.o.Regions[p.o.DataCentre]
+	region, known := p.options.Regions[p.options.DataCentre]
 	switch {
-	case u.DataCentre == p.o.DataCentre:
+	case u.DataCentre == p.options.DataCentre:
 		return sameDataCentre
-	case known && p.o.Regions[u.DataCentre] == region:
+	case known && p.options.Regions[u.DataCentre] == region:
 		return sameRegion
 	default:
 		return otherRegion
 	}
 }
 
-// replicas lists the upstreams of a group that stay and don't lead it.
+// replicas returns the upstreams of a group that are neither its primary nor
+// leaving.
 func replicas(g *site.GroupView) []*pb.SiteUpstream {
 	var list []*pb.SiteUpstream
 	for _, u := range g.Upstreams {
--- a/proxy/share_test.go
+++ b/proxy/share_test.go
@@ -11,9 +11,10 @@
 	"lovageslip/upstream"
 )
 
-// Pattern: more proxies than an upstream has connections. Guards against proxies
-// that open a connection for each read and close it soon after: an upstream
-// spends 12 ms of a slot on each, nearly half of the work of a read.
+// Guards against proxies that open a connection for each read and close it soon
+// after, where an upstream has fewer connections than there are proxies. An
+// upstream spends 12 ms of a slot on each connection, nearly half of the work
+// of a read.
 func TestScarceConnectionsAreKeptAtTheHomeReplica(t *testing.T) {
 	f := newFixture(t)
 	f.parts.Proxies = 60 // 36 connections of each upstream are to be shared
@@ -25,7 +26,7 @@
 		assert.Assert(t, reply.Refusal == nil, "%v", reply.Refusal)
 		for _, pl := range f.proxy.pools {
 			for _, c := range pl.idle {
-				c.idleAt = now().Add(-2 * scarceIdle)
+				c.idleSince = now().Add(-2 * scarceIdleTimeout)
 			}
 			pl.closeIdle()
 		}
@@ -39,19 +40,19 @@
 	assert.Equal(t, dials, 1, "connections for 20 reads")
 }
 
-// Guards against a replica that most proxies take for their home.
-func TestHomesAreSpread(t *testing.T) {
+// Guards against most proxies having the same home replica.
+func TestHomeReplicasAreSpreadOverProxies(t *testing.T) {
 	f := newFixture(t)
 	g, _ := f.proxy.View().Group("g")
 	counts := map[string]int{}
 	for i := range 200 {
-		f.proxy.o.Name = fmt.Sprintf("proxy-%d", i)
+		f.proxy.options.Name = fmt.Sprintf("proxy-%d", i)
 		counts[f.proxy.homeReplica(g)]++
 	}
 	assert.Equal(t, len(counts), 2)
-	f.proxy.o.Regions = map[string]string{"here": "north", "there": "north", "far": "south"}
+	f.proxy.options.Regions = map[string]string{"here": "north", "there": "north", "far": "south"}
 	g.Upstream("r1").DataCentre, g.Upstream("r2").DataCentre = "far", "there"
-	assert.Equal(t, f.proxy.homeReplica(g), "r2", "the nearer one")
+	assert.Equal(t, f.proxy.homeReplica(g), "r2", "the home must be the nearer replica")
 	for id, n := range counts {
 		assert.Assert(t, n > 70, "%s is the home of %d of 200 proxies", id, n)
 	}
--- a/proxy/statement.go
+++ b/proxy/statement.go
@@ -1,12 +1,16 @@
-// Package proxy serves callers' sessions on the upstreams of a site. Each
-// proxy speaks to the upstreams itself; what it may rely on comes from the
-// answers of the upstreams, never from what another host believes:
+// Package proxy runs the statements of callers' sessions on the upstreams of a
+// site: it chooses an upstream for each, pools connections, limits the load on
+// each upstream and retries what did not run. The front ends for callers open
+// its sessions, and the daemon gives it each new view of the site.
+//
+// Whether data are fresh enough is decided by answers of the upstreams alone,
+// because the view of the site that other hosts send may be out of date:
 //
 //   - A read that must contain every acknowledged commit runs inside a
 //     transaction that only a leading primary accepts.
 //   - Any other read carries the position that the upstream must hold. The
-//     position comes from an answer of a leading primary, which holds whatever
-//     was acknowledged before it was asked.
+//     position comes from an answer of a leading primary, which holds every
+//     commit that was acknowledged before the request was sent.
 //
 // One goroutine runs each session.
 package proxy
@@ -42,17 +46,18 @@
 	Kind Kind
 	// Text is the statement as the caller sent it.
 	Text string
-	// ReadOnly is set on a BEGIN that announces only reads, and on a
-	// PREPARE of a read.
+	// ReadOnly is set on a BEGIN of a read-only transaction and on a PREPARE
+	// of a read.
 	ReadOnly bool
-	// Name is a session value or a prepared statement.
+	// Name is the name of a session value or of a prepared statement.
 	Name string
 	// Value is the new session value, the shape of a prepared statement, or
 	// the arguments of an EXECUTE.
 	Value string
 }
 
-// CommandKind tells a command of the proxy itself from a caller's statement.
+// CommandKind is what a command to an upstream does: run a caller's statement
+// or do one of the proxy's own tasks.
 type CommandKind int
 
 // Kinds of commands.
@@ -71,14 +76,15 @@
 // Command is one message to an upstream.
 type Command struct {
 	Kind CommandKind
-	// Statement is what CommandForward runs.
+	// Statement is the statement that CommandForward runs.
 	Statement *Statement
-	// After makes the upstream refuse with CodeLagging if its log lacks the
-	// position. It applies to reads and to CommandBeginRead.
+	// After is the position that a read or a CommandBeginRead needs. The
+	// upstream refuses it with CodeLagging if its log lacks the position.
 	After upstream.Position
-	// Name and Value are those of CommandSet and CommandPrepare (value: the
-	// shape); Name is also what CommandForward finds its prepared statement
-	// under.
+	// Name and Value are the name and value of the session value that
+	// CommandSet sets, or the name and shape of the statement that
+	// CommandPrepare prepares. CommandForward has in Name the prepared
+	// statement that it executes, if any.
 	Name, Value string
 	// ReadOnly is set on a CommandPrepare of a read.
 	ReadOnly bool
@@ -87,7 +93,8 @@
 // Code says how an upstream refused or failed a statement.
 type Code int
 
-// Codes of upstreams. The first group promises that the statement did not run.
+// Codes of upstreams. Those of the first group but CodeNone promise that the
+// statement did not run.
 const (
 	CodeNone Code = iota
 	CodeBusy
@@ -97,7 +104,8 @@
 	CodeWrongUpstream
 	CodeTooManyConnections
 
-	// CodeFailed and all below ran, or may have.
+	// After CodeFailed and the codes below it, the statement ran or may have
+	// run.
 	CodeFailed
 	CodeTimeout
 	CodeOther
@@ -115,7 +123,7 @@
 	return "unknown"
 }
 
-// TransactionState is the state of a session after an answer.
+// TransactionState is the state of a session's transaction after an answer.
 type TransactionState byte
 
 // Transaction states.
@@ -127,16 +135,18 @@
 
 // Answer is the complete answer of an upstream to one command.
 type Answer struct {
-	// Body is the rows and the signature or error, as they go to the caller.
+	// Body is the rows and the signature, or the error, as they are passed to
+	// the caller.
 	Body []byte
 	Code Code
-	// State and Position are those of the upstream's session and log. The
-	// zero position means that the upstream named none.
+	// State is that of the session at the upstream, and Position that of the
+	// upstream's log; zero if the upstream sent none.
 	State    TransactionState
 	Position upstream.Position
 }
 
-// Conn is a connection to an upstream. It is used by one goroutine at a time.
+// Conn is a connection to an upstream. The proxy uses it from one goroutine at
+// a time.
 type Conn interface {
 	// Exchange sends the commands together and returns their answers in
 	// order. After an error, the connection is unusable, and whether a
@@ -165,11 +175,11 @@
 	return "upstream " + e.Upstream + " refused the connection: " + e.Code.String()
 }
 
-// RefusalCode is the proxy's own answer to a statement.
+// RefusalCode is the kind of a refusal.
 type RefusalCode int
 
-// Refusals. Those up to RefusedAborted promise that nothing of the caller's
-// operation is kept.
+// Codes of refusals. RefusedBusy and RefusedAborted promise that nothing of the
+// caller's operation is kept.
 const (
 	// RefusedBusy: the statement did not run.
 	RefusedBusy RefusalCode = iota
@@ -183,18 +193,21 @@
 	RefusedTooLarge
 )
 
-// Refusal is the proxy's own final answer to a statement.
+// Refusal is the proxy's own final answer to a statement, in place of an
+// upstream's.
 type Refusal struct {
 	Code   RefusalCode
 	Reason string
-	// RetryAfter is when the caller should come back; 0 if it should not.
+	// RetryAfter is the time after which the caller should try again; 0 if it
+	// should not.
 	RetryAfter time.Duration
 }
 
 func (r *Refusal) Error() string { return "refused: " + r.Reason }
 
-// Reply is what the caller gets for one statement: the answer of an upstream,
-// a refusal, or, if both are empty, the proxy's own confirmation.
+// Reply is the answer to one statement: the body of an upstream's answer, a
+// refusal, or, if both are empty, the proxy's confirmation of a statement that
+// needs no upstream.
 type Reply struct {
 	Body    []byte
 	Refusal *Refusal
--- a/proxy/times.go
+++ b/proxy/times.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// timesWeight is the weight of one statement in the expected time.
-const timesWeight = 0.1
+// operationTimeWeight is the weight of one operation in the moving average.
+const operationTimeWeight = 0.1
 
-// serviceTimes are how long the statements of each database take, from being
-// sent to being answered. It is safe for concurrent use.
-type serviceTimes struct {
+// operationTimes holds the moving average of the time that operations of each
+// kind take at upstreams, from sending their statements to the answers. It is
+// safe for concurrent use.
+type operationTimes struct {
 	mu    sync.Mutex
-	times map[string]time.Duration
+	means map[string]time.Duration
 }
 
-func (t *serviceTimes) add(database string, took time.Duration) {
+func (t *operationTimes) add(kind string, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.times == nil {
-		t.times = make(map[string]time.Duration)
+	if t.means == nil {
+		t.means = make(map[string]time.Duration)
 	}
-	known, ok := t.times[database]
+	mean, ok := t.means[kind]
 	if !ok {
-		known = took
+		mean = took
 	}
-	t.times[database] = known + time.Duration(timesWeight*float64(took-known))
+	t.means[kind] = mean + time.Duration(operationTimeWeight*float64(took-mean))
 }
 
-func (t *serviceTimes) expected(database string) time.Duration {
+func (t *operationTimes) expected(kind string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.times[database]
+	return t.means[kind]
 }
--- a/proxy/transaction.go
+++ b/proxy/transaction.go
@@ -8,18 +8,20 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// transaction is a caller's transaction. It is bound to a connection by its
-// first statement, so that a caller who hesitates holds none.
+// transaction is a caller's transaction. It gets a connection with its first
+// statement, so that a caller who sends none yet holds none.
 type transaction struct {
-	readOnly bool
-	route    *pb.SiteRoute
-	conn     *conn // nil until bound and after the end at the upstream
-	primary  bool
-	ran      bool
-	// took is the time that its statements have taken at the upstream.
-	took  time.Duration
-	wrote bool
-	// expired is set if the proxy ended the transaction.
+	readOnly  bool
+	route     *pb.SiteRoute
+	conn      *conn // nil before bind and after the end at the upstream
+	atPrimary bool
+	hasRun    bool
+	// upstreamTime is the time that its statements have taken at the
+	// upstream.
+	upstreamTime time.Duration
+	hasWritten   bool
+	// expired is set if the proxy ended the transaction because the caller
+	// sent nothing for too long.
 	expired bool
 }
 
@@ -40,34 +42,37 @@
 	return Reply{}
 }
 
-// endTransaction forgets the transaction and rolls it back at the upstream.
+// endTransaction ends the session's transaction, if any, and rolls it back at the
+// upstream unless it has ended there.
 func (s *Session) endTransaction() {
 	s.state = StateIdle
 	if s.tx != nil {
-		s.rollBack(s.tx)
+		s.rollBackAtUpstream(s.tx)
 	}
 	s.tx = nil
 }
 
-// failTransaction rolls an open transaction back at the upstream; the caller
-// must still end it.
+// failTransaction rolls an open transaction back at the upstream. The session
+// stays in the failed transaction until the caller ends it.
 func (s *Session) failTransaction() {
 	if s.tx == nil {
 		return
 	}
-	s.rollBack(s.tx)
+	s.rollBackAtUpstream(s.tx)
 	s.state = StateFailed
 }
 
-// rollBack ends a transaction at its upstream.
-func (s *Session) rollBack(tx *transaction) {
+// rollBackAtUpstream rolls a transaction back at its upstream, if it has been
+// opened there.
+func (s *Session) rollBackAtUpstream(tx *transaction) {
 	if tx.conn != nil {
-		s.proxy.rollBack(tx.conn)
+		s.proxy.rollBackAndReturn(tx.conn)
 	}
 	tx.conn = nil
 }
 
-// IdleLimit returns how long the caller may rest now; 0 for no limit.
+// IdleLimit returns how long the caller may send nothing now; 0 for no limit.
+// There is a limit only while a transaction holds an upstream connection.
 func (s *Session) IdleLimit() time.Duration {
 	if s.tx == nil || s.tx.conn == nil {
 		return 0
@@ -75,18 +80,19 @@
 	return s.proxy.View().TransactionIdle
 }
 
-// Expire ends a transaction that rested for too long.
+// Expire ends a transaction that was idle for longer than IdleLimit. The front
+// end calls it; the caller's next statement is then refused.
 func (s *Session) Expire() {
 	if s.tx == nil {
 		return
 	}
 	s.failTransaction()
 	s.tx.expired = true
-	s.proxy.log.Info("transaction ended after a rest", "database", s.database)
+	s.proxy.log.Info("transaction exceeded the idle limit and was ended", "database", s.database)
 }
 
-// bind opens the transaction at an upstream.
-func (s *Session) bind(ctx context.Context, w work) *Reply {
+// bind opens the session's transaction at an upstream.
+func (s *Session) bind(ctx context.Context, stmt resolvedStatement) *Reply {
 	tx := s.tx
 	route, ok := s.proxy.View().Route(s.database)
 	if !ok {
@@ -95,8 +101,8 @@
 		return &reply
 	}
 	tx.route = route
-	plan := &readPlan{}
-	reply := s.repeat(ctx, w.statement, func() attempt { return s.bindOnce(ctx, w, plan) })
+	progress := &readProgress{}
+	reply := s.retryUntilFinal(ctx, stmt.statement, func() attempt { return s.bindOnce(ctx, stmt, progress) })
 	if tx.conn != nil {
 		return nil
 	}
@@ -104,47 +110,47 @@
 	return &reply
 }
 
-func (s *Session) bindOnce(ctx context.Context, w work, plan *readPlan) attempt {
-	if !s.tx.readOnly || !mayBeOld(s.tx.route) {
-		return s.bindAtPrimary(ctx, w)
+func (s *Session) bindOnce(ctx context.Context, stmt resolvedStatement, progress *readProgress) attempt {
+	if !s.tx.readOnly || !replicaAllowed(s.tx.route) {
+		return s.bindAtPrimary(ctx, stmt)
 	}
-	t, failed := s.chooseTarget(ctx, s.tx.route, plan)
+	t, failed := s.chooseTarget(ctx, s.tx.route, progress)
 	if failed != nil {
 		return *failed
 	}
 	if t.primary {
-		return s.bindAtPrimary(ctx, w)
+		return s.bindAtPrimary(ctx, stmt)
 	}
-	c, failed := s.openTransaction(ctx, t.pool, w, s.tx.route, Command{Kind: CommandBeginRead, After: t.after})
+	c, failed := s.beginTransaction(ctx, t.pool, stmt, s.tx.route, Command{Kind: CommandBeginRead, After: t.after})
 	if failed != nil {
-		plan.exclude(t.upstream.Id)
+		progress.exclude(t.upstream.Id)
 		return *failed
 	}
-	s.tx.conn, s.tx.primary = c, false
-	c.pool.rest(c)
+	s.tx.conn, s.tx.atPrimary = c, false
+	c.pool.suspend(c)
 	return final(Reply{})
 }
 
-func (s *Session) bindAtPrimary(ctx context.Context, w work) attempt {
-	c, failed := s.openAtPrimary(ctx, w, s.tx.route)
+func (s *Session) bindAtPrimary(ctx context.Context, stmt resolvedStatement) attempt {
+	c, failed := s.beginAtPrimary(ctx, stmt, s.tx.route)
 	if failed != nil {
 		return *failed
 	}
-	s.tx.conn, s.tx.primary = c, true
-	c.pool.rest(c)
+	s.tx.conn, s.tx.atPrimary = c, true
+	c.pool.suspend(c)
 	return final(Reply{})
 }
 
 // runInTransaction runs a statement in the open transaction. While nothing has
 // run in it, a statement that did not run may be tried at another upstream.
-func (s *Session) runInTransaction(ctx context.Context, w work) Reply {
-	reply := s.repeat(ctx, w.statement, func() attempt {
+func (s *Session) runInTransaction(ctx context.Context, stmt resolvedStatement) Reply {
+	reply := s.retryUntilFinal(ctx, stmt.statement, func() attempt {
 		if s.tx.conn == nil {
-			if reply := s.bind(ctx, w); reply != nil {
+			if reply := s.bind(ctx, stmt); reply != nil {
 				return final(*reply)
 			}
 		}
-		return s.inTransactionOnce(w)
+		return s.runInTransactionOnce(stmt)
 	})
 	if reply.Refusal != nil && s.state == StateOpen {
 		s.failTransaction()
@@ -153,27 +159,27 @@
 	return reply
 }
 
-func (s *Session) inTransactionOnce(w work) attempt {
+func (s *Session) runInTransactionOnce(stmt resolvedStatement) attempt {
 	tx := s.tx
 	c := tx.conn
-	askedAt := now()
+	sentAt := now()
 	c.pool.resume(c)
-	answers, err := exchange(c, time.Now().Add(timeout(tx.route)), s.setUp(c, w), w.forward())
+	answers, err := exchange(c, time.Now().Add(timeout(tx.route)), s.setUp(c, stmt), stmt.command())
 	if err != nil {
-		return s.connectionLost(w, askedAt, err)
+		return s.connectionLost(stmt, sentAt, err)
 	}
-	c.pool.rest(c)
+	c.pool.suspend(c)
 	a := answers[0]
-	c.pool.noteAnswer(a.Code, now().Sub(askedAt))
+	c.pool.recordStatement(a.Code, now().Sub(sentAt))
 	switch {
 	case a.Code == CodeNone:
-		s.noteRun(w, a, askedAt)
+		s.recordTransactionRun(stmt, a, sentAt)
 		return answered(a)
 	case a.Code == CodeBusy && a.State == StateOpen:
-		return retry(reasonBusy, jitter(busyPause))
-	case a.Code.NotRun() && !tx.ran:
-		s.rollBack(tx)
-		return retry(fault.Reason(a.Code.String()), s.busyWait(c.pool))
+		return retry(reasonBusy, jitter(busyBackoff))
+	case a.Code.NotRun() && !tx.hasRun:
+		s.rollBackAtUpstream(tx)
+		return retry(fault.Reason(a.Code.String()), s.busyRetryDelay(c.pool))
 	case a.Code.NotRun():
 		s.failTransaction()
 		return final(aborted(fault.Reason(a.Code.String())))
@@ -183,25 +189,25 @@
 	}
 }
 
-// connectionLost fails the transaction: its commit was not sent, so nothing of
-// it is kept.
-func (s *Session) connectionLost(w work, askedAt time.Time, err error) attempt {
+// connectionLost fails the transaction after its connection was lost. Its
+// commit was not sent, so nothing of it is kept.
+func (s *Session) connectionLost(stmt resolvedStatement, sentAt time.Time, err error) attempt {
 	c := s.tx.conn
 	s.tx.conn = nil
-	c.pool.discard(c, askedAt)
+	c.pool.discard(c, sentAt)
 	s.state = StateFailed
-	s.proxy.log.Warn("connection of a transaction lost", "request", w.statement.ID, "database", s.database,
+	s.proxy.log.Warn("lost the upstream connection of a transaction", "request", stmt.statement.ID, "database", s.database,
 		"upstream", c.pool.id(), "error", err)
 	return final(aborted(reasonConnectionLost))
 }
 
-func (s *Session) noteRun(w work, a Answer, askedAt time.Time) {
-	s.tx.ran = true
-	s.tx.wrote = s.tx.wrote || !w.reads
-	if s.tx.primary {
-		s.proxy.group(s.tx.route.Group).positions.add(a.Position, askedAt)
+func (s *Session) recordTransactionRun(stmt resolvedStatement, a Answer, sentAt time.Time) {
+	s.tx.hasRun = true
+	s.tx.hasWritten = s.tx.hasWritten || !stmt.readOnly
+	if s.tx.atPrimary {
+		s.proxy.group(s.tx.route.Group).positions.add(a.Position, sentAt)
 	}
-	s.served(w.statement, s.tx.conn, now().Sub(askedAt), a)
+	s.recordServed(stmt.statement, s.tx.conn, now().Sub(sentAt), a)
 }
 
 func (s *Session) commit(ctx context.Context, st *Statement) Reply {
@@ -212,14 +218,14 @@
 		s.endTransaction()
 		return aborted("transaction_failed")
 	}
-	w := work{statement: st}
+	stmt := resolvedStatement{statement: st}
 	if s.tx.conn == nil {
-		if reply := s.bind(ctx, w); reply != nil {
+		if reply := s.bind(ctx, stmt); reply != nil {
 			s.endTransaction()
 			return *reply
 		}
 	}
-	reply := s.repeat(ctx, st, func() attempt { return s.commitOnce(w) })
+	reply := s.retryUntilFinal(ctx, st, func() attempt { return s.commitOnce(stmt) })
 	if s.tx != nil {
 		s.endTransaction()
 		reply.Refusal.Code = RefusedAborted
@@ -227,28 +233,28 @@
 	return reply
 }
 
-func (s *Session) commitOnce(w work) attempt {
+func (s *Session) commitOnce(stmt resolvedStatement) attempt {
 	tx := s.tx
 	c := tx.conn
-	askedAt := now()
+	sentAt := now()
 	c.pool.resume(c)
-	answers, err := exchange(c, time.Now().Add(timeout(tx.route)), nil, w.forward())
+	answers, err := exchange(c, time.Now().Add(timeout(tx.route)), nil, stmt.command())
 	if err != nil {
 		tx.conn = nil
-		c.pool.discard(c, askedAt)
+		c.pool.discard(c, sentAt)
 		s.endTransaction()
-		s.proxy.log.Warn("outcome of a commit is unknown", "request", w.statement.ID, "database", s.database,
-			"upstream", c.pool.id(), "after", now().Sub(askedAt), "error", err)
-		return final(unknown(fault.ReasonOutcomeUnknown))
+		s.proxy.log.Warn("outcome of a commit is unknown", "request", stmt.statement.ID, "database", s.database,
+			"upstream", c.pool.id(), "after", now().Sub(sentAt), "error", err)
+		return final(outcomeUnknown(fault.ReasonOutcomeUnknown))
 	}
 	a := answers[0]
-	c.pool.noteAnswer(a.Code, now().Sub(askedAt))
-	c.pool.rest(c)
+	c.pool.recordStatement(a.Code, now().Sub(sentAt))
+	c.pool.suspend(c)
 	if a.Code == CodeBusy && a.State == StateOpen {
-		return retry(reasonBusy, jitter(busyPause))
+		return retry(reasonBusy, jitter(busyBackoff))
 	}
 	if a.Code == CodeNone {
-		s.served(w.statement, c, now().Sub(askedAt), a)
+		s.recordServed(stmt.statement, c, now().Sub(sentAt), a)
 	}
 	if a.State == StateIdle {
 		tx.conn = nil
@@ -256,8 +262,8 @@
 	}
 	s.endTransaction()
 	switch {
-	case a.Code == CodeNone && tx.wrote:
-		s.noteCommit(tx.route.Group, a, askedAt)
+	case a.Code == CodeNone && tx.hasWritten:
+		s.recordCommit(tx.route.Group, a, sentAt)
 	case a.Code.NotRun():
 		return final(aborted(fault.Reason(a.Code.String())))
 	}
