--- a/class/class.go
+++ b/class/class.go
@@ -1,4 +1,7 @@
-// Package class defines classes of work: the only thing operators state.
+// Package class defines classes of work. A class states how long its requests
+// may wait and how old their answers may be, and operators state nothing else
+// about the load. Control hosts store the classes, and every host that handles
+// requests decides by their targets.
 package class
 
 import (
@@ -17,16 +20,17 @@
 
 var validName = regexp.MustCompile(`^[a-z][a-z0-9_]{0,31}$`)
 
-// Class is a class of work and its targets.
+// Class is a class of work: the name that requests state, and its targets.
 type Class struct {
 	Name string
 	// Wait is how long a caller may wait for its request to start.
 	Wait time.Duration
-	// Age is how old an answer may be. Zero asks for current data.
+	// Age is how old the data of an answer may be. Zero asks for the latest
+	// data.
 	Age time.Duration
 }
 
-// Validate returns every problem of the definition; none if it is valid.
+// Validate returns all problems of the definition, none if it is valid.
 func (c Class) Validate() []*fault.Invalid {
 	var problems []*fault.Invalid
 	if !validName.MatchString(c.Name) {
--- a/route/route.go
+++ b/route/route.go
@@ -1,6 +1,8 @@
-// Package route chooses the upstream for one request from hints. Hints may be
-// old without harm: the owner checks every answer, so a wrong choice costs a
-// refusal and never a stale answer.
+// Package route chooses the upstream to which an entry host sends a request. It
+// decides by hints about load and replication lag, which the owners of
+// upstreams add to their answers. Old hints are harmless: the owner checks each
+// request again, so a wrong choice costs a refusal and a retry, but never gives
+// a stale answer.
 package route
 
 import (
@@ -21,47 +23,49 @@
 	"lovageslip/upstream"
 )
 
-// Options configures a Router. Log, Metrics and Now are optional.
+// Options are the settings and dependencies that New builds a Router from. Log,
+// Metrics and Now are optional.
 type Options struct {
 	// DataCentre is the data centre of this host.
 	DataCentre string
-	// Log takes no messages yet.
+	// Log is not used yet.
 	Log     *slog.Logger
 	Metrics tally.Scope
 	Now     func() time.Time
 }
 
-// Request is what the choice for one request depends on.
+// Request holds what the choice of an upstream for one request depends on.
 type Request struct {
 	View     *registry.View
 	Database string
 	Class    class.Class
 	Mode     upstream.Mode
-	// Min is the position that a read must include.
+	// Min is the position that the upstream must hold for a read.
 	Min upstream.Position
-	// SinceMin is the least time since Min was committed.
+	// SinceMin is a lower bound of the time since Min was committed.
 	SinceMin time.Duration
 	// Remaining is how long the request may still wait.
 	Remaining time.Duration
-	// Exclude names upstreams that have refused this request.
+	// Exclude lists the names of upstreams that have refused this request.
 	Exclude []string
 }
 
-// Choice is the chosen upstream.
+// Choice is the upstream that Choose has chosen.
 type Choice struct {
 	Upstream registry.Upstream
 	Primary  bool
-	// Delay is how long to wait before the request is sent, so that a
-	// replica includes the session's position by then.
+	// Delay is how long to wait before sending the request, so that a replica
+	// is likely to hold the session's position by then.
 	Delay time.Duration
 }
 
-// Router chooses upstreams. It is safe for concurrent use.
+// Router chooses upstreams and keeps what it has learned about each. It is safe
+// for concurrent use.
 type Router struct {
 	dataCentre string
 	now        func() time.Time
-	// onReplica and onPrimary count where reads were sent.
-	onReplica, onPrimary tally.Counter
+	// replicaReads and primaryReads count the reads sent to each role.
+	replicaReads, primaryReads tally.Counter
 
 	index atomic.Pointer[index]
 
@@ -69,46 +73,47 @@
 	states map[string]*state // guarded by mu, by upstream
 }
 
-// New returns a router without any hints.
+// New returns a router that has no hints yet.
 func New(options Options) *Router {
 	if options.Now == nil {
 		options.Now = time.Now
 	}
 	return &Router{
-		dataCentre: options.DataCentre,
-		now:        options.Now,
-		onReplica:  readsOn(options.Metrics, "replica"),
-		onPrimary:  readsOn(options.Metrics, "primary"),
-		states:     make(map[string]*state),
+		dataCentre:   options.DataCentre,
+		now:          options.Now,
+		replicaReads: readsCounter(options.Metrics, "replica"),
+		primaryReads: readsCounter(options.Metrics, "primary"),
+		states:       make(map[string]*state),
 	}
 }
 
-func readsOn(scope tally.Scope, role string) tally.Counter {
+func readsCounter(scope tally.Scope, role string) tally.Counter {
 	return metrics.OrNoop(scope).Tagged(map[string]string{"role": role}).Counter("reads_routed_total")
 }
 
-// index lists the upstreams of each database of one view.
+// index lists the upstreams of each database in one view.
 type index struct {
 	view       *registry.View
 	byDatabase map[string][]registry.Upstream
 }
 
 func (r *Router) indexOf(view *registry.View) *index {
-	current := r.index.Load()
-	if current != nil && current.view == view {
-		return current
+	cached := r.index.Load()
+	if cached != nil && cached.view == view {
+		return cached
 	}
 	next := &index{view: view, byDatabase: make(map[string][]registry.Upstream)}
 	for _, u := range view.Upstreams {
 		next.byDatabase[u.Database] = append(next.byDatabase[u.Database], u)
 	}
 	r.index.Store(next)
-	r.forget(view)
+	r.dropUnregistered(view)
 	return next
 }
 
-// forget drops the state of upstreams that have left the registry.
-func (r *Router) forget(view *registry.View) {
+// dropUnregistered drops the state of upstreams that are no longer in the
+// registry.
+func (r *Router) dropUnregistered(view *registry.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name := range r.states {
@@ -118,41 +123,43 @@
 	}
 }
 
-// Choose returns the upstream for a request.
-// Errors: *fault.NotRun with ReasonNoUpstream if none can take it now.
+// Choose returns the upstream for a request: the eligible replica with the
+// least expected cost for a read, or else the primary.
+// Errors: *fault.NotRun with ReasonNoUpstream if no upstream can take the
+// request now.
 func (r *Router) Choose(request Request) (Choice, error) {
 	upstreams := r.indexOf(request.View).byDatabase[request.Database]
 	primary := request.View.Groups[request.Database].Primary
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	best := pick{}
-	fallback := pick{}
+	bestReplica := candidate{}
+	bestPrimary := candidate{}
 	for _, u := range upstreams {
 		isPrimary := u.Name == primary
 		if !usable(u, request.Exclude) {
 			continue
 		}
 		if isPrimary {
-			fallback.offer(r.candidate(u, request, true))
+			bestPrimary.replaceIfCheaper(r.evaluate(u, request, true))
 			continue
 		}
 		if request.Mode == upstream.ModeRead {
-			best.offer(r.candidate(u, request, false))
+			bestReplica.replaceIfCheaper(r.evaluate(u, request, false))
 		}
 	}
-	choice, err := choose(best, fallback, request)
+	choice, err := choose(bestReplica, bestPrimary, request)
 	if err == nil && request.Mode == upstream.ModeRead {
-		r.count(choice)
+		r.countRead(choice)
 	}
 	return choice, err
 }
 
-func (r *Router) count(choice Choice) {
+func (r *Router) countRead(choice Choice) {
 	if choice.Primary {
-		r.onPrimary.Inc(1)
+		r.primaryReads.Inc(1)
 		return
 	}
-	r.onReplica.Inc(1)
+	r.replicaReads.Inc(1)
 }
 
 func usable(u registry.Upstream, exclude []string) bool {
@@ -162,12 +169,11 @@
 	return !slices.Contains(exclude, u.Name)
 }
 
-// choose prefers a replica. The primary takes a read if no replica is
-// eligible, or if the replicas are so busy that the read would spend half of
-// its remaining wait there and the primary is quicker.
-func choose(replica, primary pick, request Request) (Choice, error) {
+// choose returns the replica unless no replica is eligible, or the read would
+// spend more than half of its remaining wait there and the primary is quicker.
+func choose(replica, primary candidate, request Request) (Choice, error) {
 	if !replica.found && !primary.found {
-		return Choice{}, none(request)
+		return Choice{}, noUpstream(request)
 	}
 	if !replica.found {
 		return primary.choice, nil
@@ -179,7 +185,7 @@
 	return replica.choice, nil
 }
 
-func none(request Request) error {
+func noUpstream(request Request) error {
 	detail := "no upstream of " + request.Database + " can take the read now"
 	if request.Mode == upstream.ModeWrite {
 		detail = "no primary of " + request.Database + " can take the write now"
@@ -187,19 +193,20 @@
 	return &fault.NotRun{Reason: fault.ReasonNoUpstream, Detail: detail}
 }
 
-// pick is the cheapest candidate so far.
-type pick struct {
+// candidate is an upstream that may be chosen, and the time that a request is
+// expected to spend on the way to it and in its queue.
+type candidate struct {
 	found  bool
 	cost   time.Duration
 	choice Choice
 }
 
-func (p *pick) offer(c pick) {
+func (p *candidate) replaceIfCheaper(c candidate) {
 	if !c.found {
 		return
 	}
-	// Equal costs are common before hints arrive; a random choice spreads
-	// the load then.
+	// Before hints arrive, many costs are equal; a random choice among them
+	// spreads the load.
 	cheaper := !p.found || c.cost < p.cost
 	equal := p.found && c.cost == p.cost && rand.IntN(2) == 0
 	if cheaper || equal {
@@ -207,84 +214,87 @@
 	}
 }
 
-// candidate judges one upstream. The caller holds mu.
-func (r *Router) candidate(u registry.Upstream, request Request, primary bool) pick {
+// evaluate returns the candidate for one upstream; found is false for a replica
+// that is not eligible. The caller holds mu.
+func (r *Router) evaluate(u registry.Upstream, request Request, primary bool) candidate {
 	s := r.state(u.Name)
 	now := r.now()
 	delay := time.Duration(0)
 	if !primary {
-		if now.Before(s.downUntil) || !s.fresh(request.Class, now) {
-			return pick{}
+		if now.Before(s.unavailableUntil) || !s.freshEnough(request.Class, now) {
+			return candidate{}
 		}
-		delay = s.delay(request)
+		delay = s.catchUpDelay(request)
 		if delay > request.Remaining/2 {
-			return pick{}
+			return candidate{}
 		}
 	}
-	cost := r.distance(u, s) + s.expectedWait(now) + delay
-	return pick{found: true, cost: cost, choice: Choice{Upstream: u, Primary: primary, Delay: delay}}
+	cost := r.networkTime(u, s) + s.expectedWait(now) + delay
+	return candidate{found: true, cost: cost, choice: Choice{Upstream: u, Primary: primary, Delay: delay}}
 }
 
 // state returns the state of an upstream. The caller holds mu.
 func (r *Router) state(name string) *state {
 	s := r.states[name]
 	if s == nil {
-		s = &state{outFor: make(map[string]bool)}
+		s = &state{tooOldFor: make(map[string]bool)}
 		r.states[name] = s
 	}
 	return s
 }
 
-// distance is the network time to an upstream's owner.
-func (r *Router) distance(u registry.Upstream, s *state) time.Duration {
-	if s.network > 0 {
-		return s.network
+// networkTime returns the network time of an exchange with an upstream's owner:
+// the measured one if there is one, else a default.
+func (r *Router) networkTime(u registry.Upstream, s *state) time.Duration {
+	if s.networkTime > 0 {
+		return s.networkTime
 	}
 	if u.DataCentre == r.dataCentre {
-		return nearDistance
+		return localNetworkTime
 	}
-	return farDistance
+	return remoteNetworkTime
 }
 
-// Observe takes an owner's hint.
+// Observe stores the hint that an owner sent with an answer.
 func (r *Router) Observe(hint exchange.Hint) {
 	if hint.Upstream == "" {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.state(hint.Upstream).observe(hint, r.now())
+	r.state(hint.Upstream).recordHint(hint, r.now())
 }
 
-// Started counts a request that was sent to an upstream.
+// Started counts a request that was sent to an upstream as outstanding.
 func (r *Router) Started(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.state(name).outstanding++
 }
 
-// Finished counts the end of a request and learns the network time: its
-// duration less the time that the owner spent; zero if it was not answered.
+// Finished counts a request as no longer outstanding and records its network
+// time: its duration less the time that the owner spent on it; zero if it was
+// not answered.
 func (r *Router) Finished(name string, network time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.state(name)
 	s.outstanding--
-	s.learnNetwork(network)
+	s.recordNetworkTime(network)
 }
 
-// Stale learns from an upstream's refusal of a request as stale.
+// Stale records that an upstream refused a request because its data were too old.
 func (r *Router) Stale(name string, request Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.state(name).stale(request, r.now())
+	r.state(name).recordStale(request, r.now())
 }
 
-// Unavailable learns that an upstream could not take a request. If it is a
-// replica, reads go elsewhere for a while, so that a lost replica does not cost
-// each of them a retry.
+// Unavailable records that an upstream could not take a request. A replica gets
+// no reads for a while after it, so that a lost replica does not cost each read
+// a retry.
 func (r *Router) Unavailable(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.state(name).unavailable(r.now())
+	r.state(name).recordUnavailable(r.now())
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -15,7 +15,7 @@
 	"lovageslip/upstream"
 )
 
-// clock is a time that tests move.
+// clock is a clock that only tests advance.
 type clock struct{ now time.Time }
 
 func (c *clock) Now() time.Time          { return c.now }
@@ -26,7 +26,8 @@
 	return route.New(route.Options{DataCentre: "luzon", Now: c.Now}), c
 }
 
-// view has a primary far away, and a near and a far replica.
+// view returns a view of one group with a replica in the router's data centre,
+// and a primary and another replica in others.
 func view() *registry.View {
 	of := func(name, dataCentre string) registry.Upstream {
 		return registry.Upstream{Name: name, Database: "shop", DataCentre: dataCentre, Owner: "p", OwnerAddress: "127.0.0.1:1"}
@@ -72,7 +73,7 @@
 	assert.Equal(t, chosen(t, r, current), "primary")
 }
 
-func TestLeavingExcludedAndOwnerlessUpstreamsGetNothing(t *testing.T) {
+func TestLeavingExcludedAndOwnerlessUpstreamsAreNotChosen(t *testing.T) {
 	r, _ := newRouter()
 	v := view()
 	near := v.Upstreams["near"]
@@ -90,7 +91,7 @@
 	assert.Equal(t, notRun.Reason, fault.ReasonNoUpstream)
 }
 
-func TestOldReplicaReturnsOnlyAtFourFifthsOfTheAge(t *testing.T) {
+func TestReplicaThatWasTooOldIsChosenAgainBelowFourFifthsOfTheAge(t *testing.T) {
 	r, _ := newRouter()
 	request := read(view())
 	r.Observe(hint("near", 100*time.Millisecond, 1))
@@ -109,7 +110,7 @@
 	assert.Equal(t, chosen(t, r, read(view())), "near")
 }
 
-func TestReplicaWithoutTheSessionPositionIsAwaitedOrAvoided(t *testing.T) {
+func TestReadWaitsForOrAvoidsReplicaBehindTheSessionPosition(t *testing.T) {
 	r, _ := newRouter()
 	request := read(view())
 	request.Exclude = []string{"far"}
@@ -125,7 +126,7 @@
 	assert.Equal(t, chosen(t, r, request), "near")
 }
 
-func TestRefusalAsStaleIsLearned(t *testing.T) {
+func TestReplicaThatRefusedAStaleReadIsAvoidedForAWhile(t *testing.T) {
 	r, c := newRouter()
 	request := read(view())
 	r.Stale("near", request)
@@ -138,7 +139,7 @@
 	assert.Equal(t, chosen(t, r, request), "far")
 }
 
-func TestBusyReplicaLosesToIdleOneAndPrimaryHelps(t *testing.T) {
+func TestReadAvoidsBusyReplicaAndUsesPrimaryIfWaitIsShort(t *testing.T) {
 	r, _ := newRouter()
 	busy := hint("near", 0, 1)
 	busy.ExpectedWait = 200 * time.Millisecond
@@ -152,8 +153,8 @@
 }
 
 // Guards against a lost replica that stays the first choice of every read and
-// uses up the retries.
-func TestLostReplicaIsLeftAloneForAWhile(t *testing.T) {
+// so uses up their retries.
+func TestLostReplicaGetsNoReadsForAWhile(t *testing.T) {
 	r, c := newRouter()
 	request := read(view())
 	r.Unavailable("near")
@@ -164,7 +165,7 @@
 	assert.Equal(t, chosen(t, r, request), "near")
 	r.Unavailable("near")
 	c.advance(100 * time.Millisecond)
-	assert.Assert(t, chosen(t, r, request) != "near", "the second time is longer")
+	assert.Assert(t, chosen(t, r, request) != "near", "the second backoff must be longer than the first")
 	r.Observe(hint("near", 0, 1))
 	assert.Equal(t, chosen(t, r, request), "near")
 }
--- a/route/state.go
+++ b/route/state.go
@@ -8,129 +8,137 @@
 )
 
 const (
-	// nearDistance and farDistance stand in for the network time to an owner
-	// until it has been measured.
-	nearDistance = time.Millisecond
-	farDistance  = 10 * time.Millisecond
-	// hintLife is how long a hint's data age is believed. After it the
+	// localNetworkTime and remoteNetworkTime are assumed for owners in the
+	// same and in another data centre until the network time is measured.
+	localNetworkTime  = time.Millisecond
+	remoteNetworkTime = 10 * time.Millisecond
+	// hintTTL is how long the data age in a hint is used. After it the
 	// upstream is tried again, which brings a new hint.
-	hintLife = time.Second
-	// returnShare is the share of a class's age under which a replica
-	// returns to the class's set. The gap to the full age keeps a replica
-	// near the limit from leaving and returning with every hint.
-	returnShare = 0.8
-	// minHold and maxHold bound how long a replica that refused a read as
-	// too old, or could not take it, is left alone.
-	minHold = 100 * time.Millisecond
-	maxHold = 2 * time.Second
-	// maxLag bounds the learned replication lag.
+	hintTTL = time.Second
+	// readmissionShare is the share of a class's age below which a replica
+	// that was too old for the class becomes eligible again. The gap to the
+	// full age keeps a replica near the limit from changing with every
+	// hint.
+	readmissionShare = 0.8
+	// minBackoff and maxBackoff bound how long a replica gets no reads
+	// after it refused one because its data were too old, or could not take
+	// one.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// maxLag bounds the estimated replication lag.
 	maxLag = time.Minute
-	// lagDecay and networkRise are the shares by which learned values move
-	// towards smaller, or larger, observations.
-	lagDecay    = 8
-	networkRise = 64
-	// outstandingCost is the wait that each request of this host that is
-	// still with the owner adds to the last hint.
+	// With each observation, the lag falls by at most 1/lagDecay of itself,
+	// and the network time rises by 1/networkTimeRise of the difference.
+	lagDecay        = 8
+	networkTimeRise = 64
+	// outstandingCost is the wait that each outstanding request of this host
+	// adds to the one in the last hint.
 	outstandingCost = 50 * time.Microsecond
 )
 
-// state is what a router knows of one upstream.
+// state is what a router has learned about one upstream.
 type state struct {
 	hint   exchange.Hint
 	hintAt time.Time
-	// lag is how long after its commit a write is expected to be applied.
+	// lag is how long after its commit a write is expected to be applied by a
+	// replica.
 	lag time.Duration
-	// network is the shortest recent network time of an exchange.
-	network     time.Duration
+	// networkTime is the shortest recent network time of an exchange.
+	networkTime time.Duration
 	outstanding int
-	// outFor holds the classes whose set the replica has left.
-	outFor map[string]bool
-	// downUntil keeps reads away from a replica that could not take any, and
-	// down is for how long the last time.
-	downUntil time.Time
-	down      time.Duration
-	// heldUntil keeps reads of classes with an age up to heldAge away.
-	heldUntil time.Time
-	heldAge   time.Duration
-	hold      time.Duration
+	// tooOldFor holds the names of the classes for which the replica's data
+	// are too old.
+	tooOldFor map[string]bool
+	// unavailableUntil is until when a replica that could not take a
+	// request gets no reads, and unavailableBackoff how long that time was
+	// at its start.
+	unavailableUntil   time.Time
+	unavailableBackoff time.Duration
+	// Until staleUntil, a replica that refused a read because its data were
+	// too old gets no reads of classes with an age of up to staleAge.
+	// staleBackoff is how long that time was at its start.
+	staleUntil   time.Time
+	staleAge     time.Duration
+	staleBackoff time.Duration
 }
 
-func (s *state) observe(hint exchange.Hint, now time.Time) {
+func (s *state) recordHint(hint exchange.Hint, now time.Time) {
 	s.hint = hint
 	s.hintAt = now
-	s.downUntil, s.down = time.Time{}, 0
+	s.unavailableUntil, s.unavailableBackoff = time.Time{}, 0
 	if hint.Primary {
 		return
 	}
 	s.lag = max(hint.DataAge, s.lag-s.lag/lagDecay)
-	if hint.DataAge < share(s.heldAge) {
-		s.heldUntil = time.Time{}
-		s.hold = 0
+	if hint.DataAge < readmissionAge(s.staleAge) {
+		s.staleUntil = time.Time{}
+		s.staleBackoff = 0
 	}
 }
 
-func (s *state) learnNetwork(elapsed time.Duration) {
+func (s *state) recordNetworkTime(elapsed time.Duration) {
 	if elapsed <= 0 {
 		return
 	}
-	if s.network == 0 || elapsed < s.network {
-		s.network = elapsed
+	if s.networkTime == 0 || elapsed < s.networkTime {
+		s.networkTime = elapsed
 		return
 	}
-	s.network += (elapsed - s.network) / networkRise
+	s.networkTime += (elapsed - s.networkTime) / networkTimeRise
 }
 
-// stale notes a refusal. If the session's position can explain it, the lag is
-// longer than the position's age; otherwise the data are older than the
-// class's age.
-func (s *state) stale(request Request, now time.Time) {
-	positioned := request.Min.Term != 0
-	if positioned && (s.hintAt.IsZero() || s.hint.Position.Before(request.Min)) {
+// recordStale records a refusal because of old data. If the replica may have
+// lacked the session's position, the lag must be longer than the time since its
+// commit; otherwise the data are older than the class's age.
+func (s *state) recordStale(request Request, now time.Time) {
+	hasPosition := request.Min.Term != 0
+	if hasPosition && (s.hintAt.IsZero() || s.hint.Position.Before(request.Min)) {
 		s.lag = min(maxLag, max(s.lag, request.SinceMin+request.SinceMin/2+time.Millisecond))
 		return
 	}
-	s.hold = min(maxHold, max(minHold, 2*s.hold))
-	s.heldUntil = now.Add(s.hold)
-	s.heldAge = request.Class.Age
+	s.staleBackoff = min(maxBackoff, max(minBackoff, 2*s.staleBackoff))
+	s.staleUntil = now.Add(s.staleBackoff)
+	s.staleAge = request.Class.Age
 }
 
-// unavailable notes that the upstream could not take a request.
-func (s *state) unavailable(now time.Time) {
-	if now.Before(s.downUntil) {
+// recordUnavailable records that the upstream could not take a request.
+func (s *state) recordUnavailable(now time.Time) {
+	if now.Before(s.unavailableUntil) {
 		return
 	}
-	s.down = min(maxHold, max(minHold, 2*s.down))
-	s.downUntil = now.Add(s.down)
+	s.unavailableBackoff = min(maxBackoff, max(minBackoff, 2*s.unavailableBackoff))
+	s.unavailableUntil = now.Add(s.unavailableBackoff)
 }
 
-// fresh reports whether the replica is in the class's set.
-func (s *state) fresh(c class.Class, now time.Time) bool {
+// freshEnough reports whether the replica's data are expected to be young
+// enough for a class.
+func (s *state) freshEnough(c class.Class, now time.Time) bool {
 	if c.Age == 0 {
 		return false
 	}
-	if now.Before(s.heldUntil) && c.Age <= s.heldAge {
+	if now.Before(s.staleUntil) && c.Age <= s.staleAge {
 		return false
 	}
-	if s.hintAt.IsZero() || now.Sub(s.hintAt) > hintLife {
-		delete(s.outFor, c.Name)
+	if s.hintAt.IsZero() || now.Sub(s.hintAt) > hintTTL {
+		delete(s.tooOldFor, c.Name)
 		return true
 	}
 	if s.hint.DataAge >= c.Age {
-		s.outFor[c.Name] = true
+		s.tooOldFor[c.Name] = true
 	}
-	if s.hint.DataAge < share(c.Age) {
-		delete(s.outFor, c.Name)
+	if s.hint.DataAge < readmissionAge(c.Age) {
+		delete(s.tooOldFor, c.Name)
 	}
-	return !s.outFor[c.Name]
+	return !s.tooOldFor[c.Name]
 }
 
-func share(age time.Duration) time.Duration {
-	return time.Duration(returnShare * float64(age))
+func readmissionAge(age time.Duration) time.Duration {
+	return time.Duration(readmissionShare * float64(age))
 }
 
-// delay is how long until the replica is expected to include the session's
-// position.
-func (s *state) delay(request Request) time.Duration {
+// catchUpDelay returns the time until the replica is expected to hold the
+// session's position.
+func (s *state) catchUpDelay(request Request) time.Duration {
 	if request.Min.Term == 0 {
 		return 0
 	}
@@ -140,16 +148,17 @@
 	return max(0, s.lag-request.SinceMin)
 }
 
-// expectedWait is the hinted wait, less the time since the hint, or the wait
-// behind this host's own requests if that is longer: they may have been sent
-// after the hint.
+// expectedWait returns the wait that a request is expected to have at the
+// owner: the one in the hint less the time since the hint, or the wait behind
+// this host's own outstanding requests if that is longer, because they may have
+// been sent after the hint.
 func (s *state) expectedWait(now time.Time) time.Duration {
 	outstanding := max(0, s.outstanding)
 	load := time.Duration(outstanding) * outstandingCost
 	if s.hintAt.IsZero() {
 		return load
 	}
-	hinted := s.hint.ExpectedWait - now.Sub(s.hintAt)
-	own := time.Duration(outstanding-s.hint.Slots+1) * s.hint.Interval
-	return load + max(0, hinted, own)
+	hintedWait := s.hint.ExpectedWait - now.Sub(s.hintAt)
+	ownWait := time.Duration(outstanding-s.hint.Slots+1) * s.hint.Interval
+	return load + max(0, hintedWait, ownWait)
 }
