--- a/route/route.go
+++ b/route/route.go
@@ -42,7 +42,8 @@
 	Mode     upstream.Mode
 	// Min is the position that the upstream must hold for a read.
 	Min upstream.Position
-	// SinceMin is a lower bound of the time since Min was committed.
+	// SinceMin is a lower bound of the time since that position was
+	// committed.
 	SinceMin time.Duration
 	// Remaining is how long the request may still wait.
 	Remaining time.Duration
@@ -123,8 +124,8 @@
 	}
 }
 
-// Choose returns the upstream for a request: the eligible replica with the
-// least expected cost for a read, or else the primary.
+// Choose returns the upstream for a request: a replica or the primary for a
+// read, the primary for a write.
 // Errors: *fault.NotRun with ReasonNoUpstream if no upstream can take the
 // request now.
 func (r *Router) Choose(request Request) (Choice, error) {
@@ -193,8 +194,9 @@
 	return &fault.NotRun{Reason: fault.ReasonNoUpstream, Detail: detail}
 }
 
-// candidate is an upstream that may be chosen, and the time that a request is
-// expected to spend on the way to it and in its queue.
+// candidate is an upstream that may be chosen. Its cost is the time that a
+// request is expected to spend on the network, until a replica holds the
+// session's position and in the queue.
 type candidate struct {
 	found  bool
 	cost   time.Duration
