--- a/wal/folder.go
+++ b/wal/folder.go
@@ -18,7 +18,7 @@
 	tempSuffix             = ".tmp"
 )
 
-// Options configure a data folder.
+// Options are the parameters of OpenFolder.
 type Options struct {
 	// Dir is the data folder; it is created if it is missing.
 	Dir string
@@ -32,7 +32,8 @@
 
 const defaultSegmentSize int64 = 4 << 20
 
-// Folder is a locked data folder. One process at a time may hold it.
+// Folder is an open data folder. It is locked, so that only one process at a
+// time can have it open.
 type Folder struct {
 	dir         string
 	fs          FS
@@ -41,9 +42,9 @@
 	lock        *os.File
 }
 
-// OpenFolder creates and locks the data folder and removes files that were
-// never renamed to their final name. It returns *Locked if another process
-// holds the folder.
+// OpenFolder creates the data folder if it is missing, locks it and removes
+// temporary files that a crashed process left before it could rename them. It
+// returns *Locked if another process has the folder open.
 func OpenFolder(o Options) (*Folder, error) {
 	f := &Folder{dir: o.Dir, fs: o.FS, segmentSize: o.SegmentSize, log: logging.For(o.Log, "wal")}
 	if f.fs == nil {
@@ -53,12 +54,12 @@
 		f.segmentSize = defaultSegmentSize
 	}
 	if err := os.MkdirAll(f.dir, folderMode); err != nil {
-		return nil, failed("create", f.dir, err)
+		return nil, newFileError("create", f.dir, err)
 	}
 	if err := f.acquire(); err != nil {
 		return nil, err
 	}
-	if err := f.removeTemporary(); err != nil {
+	if err := f.removeTemporaryFiles(); err != nil {
 		return nil, errors.Join(err, f.Close())
 	}
 	return f, nil
@@ -68,7 +69,7 @@
 	path := f.path(lockName)
 	lock, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
-		return failed("open", path, err)
+		return newFileError("open", path, err)
 	}
 	err = syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 	if errors.Is(err, syscall.EWOULDBLOCK) {
@@ -77,14 +78,14 @@
 	}
 	if err != nil {
 		lock.Close()
-		return failed("lock", path, err)
+		return newFileError("lock", path, err)
 	}
 	f.lock = lock
 	return nil
 }
 
-func (f *Folder) removeTemporary() error {
-	names, err := f.names(tempSuffix)
+func (f *Folder) removeTemporaryFiles() error {
+	names, err := f.namesWithSuffix(tempSuffix)
 	if err != nil {
 		return err
 	}
@@ -96,31 +97,31 @@
 	return nil
 }
 
-// Close releases the folder.
+// Close unlocks the folder.
 func (f *Folder) Close() error { return f.lock.Close() }
 
-// Read returns the content of a file that Write wrote, and false if there is
-// none.
+// Read returns the content of a file and true, or false if the file does not
+// exist.
 func (f *Folder) Read(name string) ([]byte, bool, error) {
 	data, err := f.fs.ReadFile(f.path(name))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, false, nil
 	}
 	if err != nil {
-		return nil, false, failed("read", f.path(name), err)
+		return nil, false, newFileError("read", f.path(name), err)
 	}
 	return data, true, nil
 }
 
-// Write replaces a file so that a crash leaves either the old or the new
-// content. It returns once the new content is synced.
+// Write replaces a file atomically: after a crash it has either the old or the
+// new content. Write returns once the new content is synced.
 func (f *Folder) Write(name string, data []byte) error {
 	temp := name + tempSuffix
 	if err := f.writeSynced(temp, data); err != nil {
 		return err
 	}
 	if err := f.fs.Rename(f.path(temp), f.path(name)); err != nil {
-		return failed("rename", f.path(temp), err)
+		return newFileError("rename", f.path(temp), err)
 	}
 	return f.syncDir()
 }
@@ -129,39 +130,40 @@
 	path := f.path(name)
 	file, err := f.fs.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, fileMode)
 	if err != nil {
-		return failed("create", path, err)
+		return newFileError("create", path, err)
 	}
 	if _, err := file.Write(data); err != nil {
-		return errors.Join(failed("write", path, err), file.Close())
+		return errors.Join(newFileError("write", path, err), file.Close())
 	}
 	if err := file.Sync(); err != nil {
-		return errors.Join(failed("sync", path, err), file.Close())
+		return errors.Join(newFileError("sync", path, err), file.Close())
 	}
 	if err := file.Close(); err != nil {
-		return failed("close", path, err)
+		return newFileError("close", path, err)
 	}
 	return nil
 }
 
 func (f *Folder) syncDir() error {
 	if err := f.fs.SyncDir(f.dir); err != nil {
-		return failed("sync", f.dir, err)
+		return newFileError("sync", f.dir, err)
 	}
 	return nil
 }
 
-// remove also syncs the folder, so that removals become durable in order.
+// remove deletes a file and syncs the folder, so that removals become durable
+// in the order in which they were made.
 func (f *Folder) remove(name string) error {
 	if err := f.fs.Remove(f.path(name)); err != nil {
-		return failed("remove", f.path(name), err)
+		return newFileError("remove", f.path(name), err)
 	}
 	return f.syncDir()
 }
 
-func (f *Folder) names(suffix string) ([]string, error) {
+func (f *Folder) namesWithSuffix(suffix string) ([]string, error) {
 	all, err := f.fs.ReadDir(f.dir)
 	if err != nil {
-		return nil, failed("list", f.dir, err)
+		return nil, newFileError("list", f.dir, err)
 	}
 	var names []string
 	for _, name := range all {
--- a/wal/fs.go
+++ b/wal/fs.go
@@ -5,7 +5,7 @@
 	"os"
 )
 
-// File is an open file. Tests replace it to inject failures.
+// File is an open file. Tests wrap it to inject write and sync errors.
 type File interface {
 	io.Reader
 	io.Writer
@@ -15,7 +15,7 @@
 	Truncate(size int64) error
 }
 
-// FS is the part of the file system that the package uses.
+// FS holds the file system operations that the package uses.
 type FS interface {
 	OpenFile(path string, flag int, mode os.FileMode) (File, error)
 	ReadFile(path string) ([]byte, error)
--- a/wal/fuzz_test.go
+++ b/wal/fuzz_test.go
@@ -9,13 +9,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards recovery against silent loss: whatever happens to the bytes of the
-// last segment, it returns all acknowledged records unchanged, or *Damaged.
-// keep is the length that the segment is cut to, flips are offsets at which a
-// byte is changed, and tail is added at the end. The seeds are in testdata.
+// Guards recovery against silent data loss: whatever bytes of the last segment
+// are damaged, it returns all acknowledged records unchanged, or *Damaged. keep
+// is the length that the segment is truncated to, flips are the offsets of bytes
+// in which a bit is flipped, and tail is appended. The seeds are in testdata.
 func FuzzRecover(f *testing.F) {
 	f.Fuzz(func(t *testing.T, keep uint16, flips, tail []byte) {
-		dir := filled(t, 20)
+		dir := writeTestLog(t, 20)
 		name := lastSegment(t, dir)
 		before, err := os.ReadFile(name)
 		assert.NilError(t, err)
--- a/wal/log.go
+++ b/wal/log.go
@@ -1,23 +1,25 @@
-// Package wal keeps a write-ahead log, snapshots and small files in one data
-// folder. It knows nothing of what the records mean.
+// Package wal stores a write-ahead log, snapshots and small files in one data
+// folder. Package consensus keeps its replicated log and its votes in it; wal
+// does not interpret the data of records and snapshots.
 //
-// The log is a series of segment files, each named after its first record.
-// Nothing counts until Append has returned: it writes a batch of records and
-// syncs them with one fsync.
+// The log is a series of segment files, each named after the sequence number of
+// its first record. Append writes a batch of records and syncs them with one
+// fsync. Records are durable once Append has returned, and not before.
 //
-// After each sync, the segment and its synced length are written to the file
-// "synced", without a sync of its own. That length is never ahead of what is
-// on the disk. Recovery cuts off only a record that the last segment is too
-// short for and that begins at or after the synced length. Everything else is
-// reported as *Damaged: a bad checksum anywhere (also in the last record), a
-// gap, and a last segment shorter than its synced length.
+// After each sync, the log writes the last segment and its synced length to the
+// file "synced", but does not sync that file. The length in it is never greater
+// than what was synced. Recovery removes a record only if the last segment ends
+// inside the record (a torn write) and the record begins at or after the synced
+// length. Everything else is reported as *Damaged: a wrong checksum in any
+// record, also in the last one, missing records, and a last segment that is
+// shorter than its synced length.
 //
-// What can be told apart: after a crash of the process, the file "synced" is
-// exact, so a torn record is always told from a loss of acknowledged records.
-// After a loss of power, the file may be some seconds old; damage inside a
-// record is still always found, but if the disk also lost the end of the last
-// segment although it had confirmed the sync, and the cut falls after the
-// recorded length, the loss looks like a torn record.
+// Limits of this check: after a crash of the process, the file "synced" is
+// up to date, so recovery always distinguishes a torn write from a loss of
+// acknowledged records. After a power failure, the file may be some seconds
+// old. Damage inside a record is still always found. But if the disk confirmed
+// a sync and then lost the end of the last segment, and the remaining part ends
+// inside a record after the stored length, the loss looks like a torn write.
 package wal
 
 import (
@@ -27,9 +29,9 @@
 )
 
 const (
-	segmentSuffix = ".wal"
-	syncedName    = "synced"
-	syncedSize    = 20
+	segmentSuffix  = ".wal"
+	syncedFileName = "synced"
+	syncedFileSize = 20
 )
 
 type segment struct {
@@ -40,21 +42,21 @@
 
 func (s segment) name() string { return fmt.Sprintf("%020d%s", s.firstSeq, segmentSuffix) }
 
-// Log is an open write-ahead log. It isn't safe for concurrent use.
+// Log is an open write-ahead log. It is not safe for concurrent use.
 type Log struct {
-	folder   *Folder
-	segments []segment
-	nextSeq  uint64
-	active   File
-	size     int64
-	marker   File
-	err      error
-	buffer   []byte
+	folder     *Folder
+	segments   []segment
+	nextSeq    uint64
+	active     File
+	size       int64
+	syncedFile File
+	err        error
+	buffer     []byte
 }
 
-// Append writes the records, in order, and returns once they are synced. If
-// it fails, any part of the batch may be on the disk, and the log refuses
-// every later call with the same error.
+// Append writes the records in order and returns once they are synced. If it
+// fails, any part of the batch may be on the disk, and the log refuses every
+// later call with the same error.
 func (l *Log) Append(records []Record) error {
 	if l.err != nil {
 		return l.err
@@ -64,15 +66,15 @@
 		r.Seq = l.nextSeq
 		l.nextSeq++
 		l.buffer = appendRecord(l.buffer, r)
-		l.noteIndex(r.Index)
+		l.updateMaxIndex(r.Index)
 	}
 	if err := l.writeAndSync(); err != nil {
-		return l.fail(err)
+		return l.setErr(err)
 	}
-	return l.fail(l.recordSynced())
+	return l.setErr(l.writeSyncedLength())
 }
 
-func (l *Log) noteIndex(index uint64) {
+func (l *Log) updateMaxIndex(index uint64) {
 	last := &l.segments[len(l.segments)-1]
 	last.maxIndex = max(last.maxIndex, index)
 }
@@ -80,39 +82,40 @@
 func (l *Log) writeAndSync() error {
 	path := l.activePath()
 	if _, err := l.active.WriteAt(l.buffer, l.size); err != nil {
-		return failed("write", path, err)
+		return newFileError("write", path, err)
 	}
 	if err := l.active.Sync(); err != nil {
-		return failed("sync", path, err)
+		return newFileError("sync", path, err)
 	}
 	l.size += int64(len(l.buffer))
 	return nil
 }
 
-// recordSynced isn't followed by a sync: see the package comment.
-func (l *Log) recordSynced() error {
-	mark := encodeSynced(l.segments[len(l.segments)-1].firstSeq, l.size)
-	if _, err := l.marker.WriteAt(mark, 0); err != nil {
-		return failed("write", l.folder.path(syncedName), err)
+// writeSyncedLength updates the file "synced". It does not sync that file; the
+// package comment says why this is safe.
+func (l *Log) writeSyncedLength() error {
+	content := encodeSynced(l.segments[len(l.segments)-1].firstSeq, l.size)
+	if _, err := l.syncedFile.WriteAt(content, 0); err != nil {
+		return newFileError("write", l.folder.path(syncedFileName), err)
 	}
 	return nil
 }
 
-// Full reports that the active segment has reached its size limit.
+// Full reports whether the active segment has reached its size limit.
 func (l *Log) Full() bool { return l.size >= l.folder.segmentSize }
 
-// Rotate starts a new segment with the given records, which are synced when it
-// returns. The caller repeats in them what later segments need from earlier
-// ones.
+// Rotate starts a new segment with the given records and returns once they are
+// synced. The caller passes copies of those earlier records that recovery needs
+// even after RemoveThrough has deleted their segments.
 func (l *Log) Rotate(first []Record) error {
 	if l.err != nil {
 		return l.err
 	}
 	if err := l.active.Close(); err != nil {
-		return l.fail(failed("close", l.activePath(), err))
+		return l.setErr(newFileError("close", l.activePath(), err))
 	}
 	if err := l.startSegment(); err != nil {
-		return l.fail(err)
+		return l.setErr(err)
 	}
 	return l.Append(first)
 }
@@ -122,7 +125,7 @@
 	path := l.activePath()
 	file, err := l.folder.fs.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, fileMode)
 	if err != nil {
-		return failed("create", path, err)
+		return newFileError("create", path, err)
 	}
 	l.active = file
 	l.size = 0
@@ -133,37 +136,40 @@
 	if err := l.folder.syncDir(); err != nil {
 		return err
 	}
-	return l.recordSynced()
+	return l.writeSyncedLength()
 }
 
-// RemoveThrough removes the leading segments whose records are all at or below
-// index. The active segment always stays.
+// RemoveThrough deletes the oldest segments, as long as all their records have
+// an Index of at most index. It never deletes the active segment.
 func (l *Log) RemoveThrough(index uint64) error {
 	if l.err != nil {
 		return l.err
 	}
-	// Recovery must not find a mark that names a removed segment.
-	if err := l.marker.Sync(); err != nil {
-		return l.fail(failed("sync", l.folder.path(syncedName), err))
+	// After a power failure, the file "synced" must not name a segment that is
+	// deleted here, because recovery would report damage.
+	if err := l.syncedFile.Sync(); err != nil {
+		return l.setErr(newFileError("sync", l.folder.path(syncedFileName), err))
 	}
 	for len(l.segments) > 1 && l.segments[0].maxIndex <= index {
 		if err := l.folder.remove(l.segments[0].name()); err != nil {
-			return l.fail(err)
+			return l.setErr(err)
 		}
 		l.segments = l.segments[1:]
 	}
 	return nil
 }
 
-// Close closes the files. Everything that was acknowledged is already synced.
+// Close closes the files. All acknowledged records are already synced.
 func (l *Log) Close() error {
 	if l.err == nil {
-		l.err = failed("write", l.activePath(), os.ErrClosed)
+		l.err = newFileError("write", l.activePath(), os.ErrClosed)
 	}
-	return errors.Join(l.active.Close(), l.marker.Close())
+	return errors.Join(l.active.Close(), l.syncedFile.Close())
 }
 
-func (l *Log) fail(err error) error {
+// setErr stores err unless an earlier error is stored, and returns the stored
+// error.
+func (l *Log) setErr(err error) error {
 	if l.err == nil {
 		l.err = err
 	}
--- a/wal/recover.go
+++ b/wal/recover.go
@@ -3,17 +3,18 @@
 import (
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"os"
 	"strconv"
 	"strings"
 )
 
 // OpenLog reads the log back and opens it for appending. It returns all
-// records in order, or *Damaged; see the package comment for what is cut off.
-// The returned records are synced.
+// records in order, or *Damaged. It removes a torn record at the end of the
+// log, see the package comment. The returned records are synced.
 func (f *Folder) OpenLog() (*Log, []Record, error) {
 	l := &Log{folder: f, nextSeq: 1}
-	names, err := f.names(segmentSuffix)
+	names, err := f.namesWithSuffix(segmentSuffix)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -24,73 +25,76 @@
 }
 
 func (l *Log) create() (*Log, []Record, error) {
-	if _, found, err := l.folder.Read(syncedName); err != nil {
+	if _, found, err := l.folder.Read(syncedFileName); err != nil {
 		return nil, nil, err
 	} else if found {
-		// A crash between writing the file and creating the first
-		// segment leaves an empty mark; anything else is a loss.
+		// A crash between writing this file and creating the first
+		// segment leaves a synced length of 0. Any other content means
+		// that segments were lost.
 		if _, length, err := l.readSynced(); err != nil || length > 0 {
-			return nil, nil, l.damaged(syncedName, 0, "all segments are missing")
+			return nil, nil, l.damaged(syncedFileName, 0, "all segments are missing")
 		}
 	}
-	if err := l.folder.Write(syncedName, encodeSynced(1, 0)); err != nil {
+	if err := l.folder.Write(syncedFileName, encodeSynced(1, 0)); err != nil {
 		return nil, nil, err
 	}
-	if err := l.openMarker(); err != nil {
+	if err := l.openSyncedFile(); err != nil {
 		return nil, nil, err
 	}
 	if err := l.startSegment(); err != nil {
-		return nil, nil, errors.Join(err, l.marker.Close())
+		return nil, nil, errors.Join(err, l.syncedFile.Close())
 	}
 	return l, nil, nil
 }
 
-func (l *Log) openMarker() error {
-	path := l.folder.path(syncedName)
-	marker, err := l.folder.fs.OpenFile(path, os.O_RDWR, fileMode)
+func (l *Log) openSyncedFile() error {
+	path := l.folder.path(syncedFileName)
+	file, err := l.folder.fs.OpenFile(path, os.O_RDWR, fileMode)
 	if err != nil {
-		return failed("open", path, err)
+		return newFileError("open", path, err)
 	}
-	l.marker = marker
+	l.syncedFile = file
 	return nil
 }
 
 func encodeSynced(firstSeq uint64, length int64) []byte {
-	mark := binary.LittleEndian.AppendUint64(nil, firstSeq)
-	mark = binary.LittleEndian.AppendUint64(mark, uint64(length))
-	return binary.LittleEndian.AppendUint32(mark, checksum(mark))
+	content := binary.LittleEndian.AppendUint64(nil, firstSeq)
+	content = binary.LittleEndian.AppendUint64(content, uint64(length))
+	return binary.LittleEndian.AppendUint32(content, checksum(content))
 }
 
 func (l *Log) readSynced() (firstSeq uint64, length int64, err error) {
-	mark, found, err := l.folder.Read(syncedName)
+	content, found, err := l.folder.Read(syncedFileName)
 	if err != nil {
 		return 0, 0, err
 	}
 	if !found {
-		return 0, 0, l.damaged(syncedName, 0, "missing while segments exist")
+		return 0, 0, l.damaged(syncedFileName, 0, "file is missing, but segments exist")
 	}
-	if len(mark) != syncedSize || checksum(mark[:16]) != binary.LittleEndian.Uint32(mark[16:]) {
-		return 0, 0, l.damaged(syncedName, 0, "checksum")
+	if len(content) != syncedFileSize || checksum(content[:16]) != binary.LittleEndian.Uint32(content[16:]) {
+		return 0, 0, l.damaged(syncedFileName, 0, "checksum")
 	}
-	return binary.LittleEndian.Uint64(mark), int64(binary.LittleEndian.Uint64(mark[8:])), nil
+	return binary.LittleEndian.Uint64(content), int64(binary.LittleEndian.Uint64(content[8:])), nil
 }
 
-// reader collects what recovery learns from the segments.
-type reader struct {
+// recovery reads the segments back and collects their records.
+type recovery struct {
 	log     *Log
 	records []Record
-	// markSeq and markLength are the content of the file "synced".
-	markSeq    uint64
-	markLength int64
-	// tail is the content of the last segment, less a torn record.
-	tail []byte
-	torn bool
+	// syncedSeq and syncedLength are the content of the file "synced": the
+	// first sequence number of the last segment that was synced, and its
+	// synced length in bytes.
+	syncedSeq    uint64
+	syncedLength int64
+	// lastData is the content of the last segment up to a torn record.
+	lastData []byte
+	torn     bool
 }
 
 func (l *Log) recover(names []string) (*Log, []Record, error) {
-	r := &reader{log: l}
+	r := &recovery{log: l}
 	var err error
-	if r.markSeq, r.markLength, err = l.readSynced(); err != nil {
+	if r.syncedSeq, r.syncedLength, err = l.readSynced(); err != nil {
 		return nil, nil, err
 	}
 	for i, name := range names {
@@ -98,56 +102,56 @@
 			return nil, nil, err
 		}
 	}
-	if !r.hasMarkedSegment() {
-		return nil, nil, l.damaged(syncedName, 0, "the synced segment is missing")
+	if !r.hasSyncedSegment() {
+		return nil, nil, l.damaged(syncedFileName, 0, "the segment that the file names is missing")
 	}
-	if err := l.openMarker(); err != nil {
+	if err := l.openSyncedFile(); err != nil {
 		return nil, nil, err
 	}
-	if err := r.reopen(); err != nil {
-		return nil, nil, errors.Join(err, l.marker.Close())
+	if err := r.openLastSegment(); err != nil {
+		return nil, nil, errors.Join(err, l.syncedFile.Close())
 	}
 	return l, r.records, nil
 }
 
-func (r *reader) hasMarkedSegment() bool {
+func (r *recovery) hasSyncedSegment() bool {
 	for _, s := range r.log.segments {
-		if s.firstSeq == r.markSeq {
+		if s.firstSeq == r.syncedSeq {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *reader) readSegment(name string, last bool) error {
+func (r *recovery) readSegment(name string, last bool) error {
 	l := r.log
 	firstSeq, err := strconv.ParseUint(strings.TrimSuffix(name, segmentSuffix), 10, 64)
 	if err != nil || (segment{firstSeq: firstSeq}).name() != name {
-		return l.damaged(name, 0, "name of the segment")
+		return l.damaged(name, 0, "invalid segment file name")
 	}
 	if len(l.segments) > 0 && firstSeq != l.nextSeq {
-		return l.damaged(name, 0, "records are missing before the segment")
+		return l.damaged(name, 0, "records are missing before this segment")
 	}
 	data, _, err := l.folder.Read(name)
 	if err != nil {
 		return err
 	}
-	if firstSeq == r.markSeq && int64(len(data)) < r.markLength {
-		return l.damaged(name, int64(len(data)), "shorter than its synced length")
+	if firstSeq == r.syncedSeq && int64(len(data)) < r.syncedLength {
+		return l.damaged(name, int64(len(data)), fmt.Sprintf("segment is shorter than its synced length of %d bytes", r.syncedLength))
 	}
 	l.nextSeq = firstSeq
 	l.segments = append(l.segments, segment{firstSeq: firstSeq})
 	if len(data) < segmentHeaderSize && last {
-		r.tail, r.torn = nil, true
+		r.lastData, r.torn = nil, true
 		return nil
 	}
 	if len(data) < segmentHeaderSize || !validSegmentHeader(data, firstSeq) {
-		return l.damaged(name, 0, "header of the segment")
+		return l.damaged(name, 0, "segment header is truncated or invalid")
 	}
 	return r.readRecords(name, data, last)
 }
 
-func (r *reader) readRecords(name string, data []byte, last bool) error {
+func (r *recovery) readRecords(name string, data []byte, last bool) error {
 	l := r.log
 	offset := int64(segmentHeaderSize)
 	for offset < int64(len(data)) {
@@ -157,67 +161,69 @@
 			break
 		}
 		if outcome == parsedIncomplete {
-			detail = "incomplete record in a segment that is not the last"
+			detail = "incomplete record before the last segment"
 		}
 		if outcome != parsedOK {
 			return l.damaged(name, offset, detail)
 		}
 		r.records = append(r.records, record)
-		l.noteIndex(record.Index)
+		l.updateMaxIndex(record.Index)
 		l.nextSeq++
 		offset += size
 	}
-	if l.segments[len(l.segments)-1].firstSeq == r.markSeq && offset < r.markLength {
-		return l.damaged(name, offset, "incomplete record inside the synced length")
+	if l.segments[len(l.segments)-1].firstSeq == r.syncedSeq && offset < r.syncedLength {
+		return l.damaged(name, offset, "incomplete record within the synced length")
 	}
-	r.tail = data[:offset]
+	r.lastData = data[:offset]
 	return nil
 }
 
-// reopen cuts off a torn record and opens the last segment for appending.
-func (r *reader) reopen() error {
+// openLastSegment opens the last segment for appending and removes a torn
+// record at its end.
+func (r *recovery) openLastSegment() error {
 	l := r.log
 	path := l.activePath()
 	file, err := l.folder.fs.OpenFile(path, os.O_RDWR, fileMode)
 	if err != nil {
-		return failed("open", path, err)
+		return newFileError("open", path, err)
 	}
 	l.active = file
 	if r.torn {
-		l.folder.log.Warn("cutting off an incomplete record", "file", path, "offset", len(r.tail))
+		l.folder.log.Warn("truncating the last segment at an incomplete record", "file", path, "offset", len(r.lastData))
 	}
-	if err := r.rewrite(file, path); err != nil {
+	if err := r.rewriteUnsynced(file, path); err != nil {
 		return errors.Join(err, file.Close())
 	}
 	return nil
 }
 
-// rewrite writes the records after the synced length again before it syncs.
-// They may be only in the page cache, and after a failed sync the kernel may
-// hold them as clean, so that a new sync alone would not reach the disk.
-func (r *reader) rewrite(file File, path string) error {
+// rewriteUnsynced writes the records after the synced length again and then
+// syncs the segment. The records may be in the page cache only, and after a
+// failed sync the kernel may have marked their pages clean, so that another
+// sync without a new write would not store them on the disk.
+func (r *recovery) rewriteUnsynced(file File, path string) error {
 	l := r.log
-	if len(r.tail) == 0 {
-		r.tail = segmentHeader(l.nextSeq)
+	if len(r.lastData) == 0 {
+		r.lastData = segmentHeader(l.nextSeq)
 	}
 	from := int64(0)
-	if l.segments[len(l.segments)-1].firstSeq == r.markSeq {
-		from = min(r.markLength, int64(len(r.tail)))
+	if l.segments[len(l.segments)-1].firstSeq == r.syncedSeq {
+		from = min(r.syncedLength, int64(len(r.lastData)))
 	}
-	if err := file.Truncate(int64(len(r.tail))); err != nil {
-		return failed("truncate", path, err)
+	if err := file.Truncate(int64(len(r.lastData))); err != nil {
+		return newFileError("truncate", path, err)
 	}
-	if _, err := file.WriteAt(r.tail[from:], from); err != nil {
-		return failed("write", path, err)
+	if _, err := file.WriteAt(r.lastData[from:], from); err != nil {
+		return newFileError("write", path, err)
 	}
 	if err := file.Sync(); err != nil {
-		return failed("sync", path, err)
+		return newFileError("sync", path, err)
 	}
 	if err := l.folder.syncDir(); err != nil {
 		return err
 	}
-	l.size = int64(len(r.tail))
-	return l.recordSynced()
+	l.size = int64(len(r.lastData))
+	return l.writeSyncedLength()
 }
 
 func (l *Log) damaged(name string, offset int64, detail string) error {
--- a/wal/snapshot.go
+++ b/wal/snapshot.go
@@ -17,7 +17,8 @@
 // (4), data.
 
 // SaveSnapshot stores a snapshot, syncs it and then removes older ones. Calls
-// must not overlap, but they may overlap with the use of the log.
+// must not run concurrently with each other, but may run concurrently with
+// calls to the Log.
 func (f *Folder) SaveSnapshot(index uint64, data []byte) error {
 	content := make([]byte, 0, snapshotHeaderSize+len(data))
 	content = append(content, snapshotMagic...)
@@ -32,7 +33,7 @@
 }
 
 func (f *Folder) removeSnapshotsBefore(name string) error {
-	names, err := f.names(snapshotSuffix)
+	names, err := f.namesWithSuffix(snapshotSuffix)
 	if err != nil {
 		return err
 	}
@@ -47,11 +48,11 @@
 	return nil
 }
 
-// LoadSnapshot returns the newest snapshot, or ok false if there is none. A
-// damaged snapshot is reported, and no older one is used instead, because the
-// log that would follow it may be gone.
+// LoadSnapshot returns the newest snapshot, or ok false if there is none. It
+// returns *Damaged if that snapshot is damaged, and doesn't fall back to an older
+// one, because the log records that follow the older one may have been removed.
 func (f *Folder) LoadSnapshot() (index uint64, data []byte, ok bool, err error) {
-	names, err := f.names(snapshotSuffix)
+	names, err := f.namesWithSuffix(snapshotSuffix)
 	if err != nil || len(names) == 0 {
 		return 0, nil, false, err
 	}
@@ -62,7 +63,7 @@
 	}
 	index, parseErr := strconv.ParseUint(strings.TrimSuffix(name, snapshotSuffix), 10, 64)
 	if parseErr != nil || snapshotName(index) != name {
-		return 0, nil, false, &Damaged{File: f.path(name), Detail: "name of the snapshot"}
+		return 0, nil, false, &Damaged{File: f.path(name), Detail: "invalid snapshot file name"}
 	}
 	data, detail := parseSnapshot(content, index)
 	if detail != "" {
@@ -73,14 +74,14 @@
 
 func parseSnapshot(content []byte, index uint64) (data []byte, detail string) {
 	if len(content) < snapshotHeaderSize || string(content[:8]) != snapshotMagic {
-		return nil, "header of the snapshot"
+		return nil, "snapshot header is truncated or invalid"
 	}
 	if binary.LittleEndian.Uint64(content[8:]) != index {
-		return nil, "index of the snapshot"
+		return nil, "snapshot index differs from the file name"
 	}
 	data = content[snapshotHeaderSize:]
 	if checksum(data) != binary.LittleEndian.Uint32(content[16:]) {
-		return nil, "checksum of the snapshot"
+		return nil, "snapshot data checksum mismatch"
 	}
 	return data, ""
 }
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -22,9 +22,9 @@
 	return f
 }
 
-// filled returns a closed folder whose log holds total records in several
-// segments.
-func filled(t testing.TB, total int) string {
+// writeTestLog returns the path of a closed data folder whose log holds total
+// records in several segments.
+func writeTestLog(t testing.TB, total int) string {
 	t.Helper()
 	dir := t.TempDir()
 	f := openFolder(t, dir, nil)
@@ -32,7 +32,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, len(records), 0)
 	for i := 1; i <= total; i++ {
-		assert.NilError(t, log.Append([]Record{numbered(i)}))
+		assert.NilError(t, log.Append([]Record{testRecord(i)}))
 		if log.Full() && i < total {
 			assert.NilError(t, log.Rotate(nil))
 		}
@@ -42,7 +42,7 @@
 	return dir
 }
 
-func numbered(i int) Record {
+func testRecord(i int) Record {
 	return Record{Kind: 3, Index: uint64(i), Data: fmt.Appendf(nil, "record %d", i)}
 }
 
@@ -59,7 +59,7 @@
 	return records, nil
 }
 
-func segmentsOf(t testing.TB, dir string) []string {
+func segmentFiles(t testing.TB, dir string) []string {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(dir, "*"+segmentSuffix))
 	assert.NilError(t, err)
@@ -67,7 +67,7 @@
 }
 
 func lastSegment(t testing.TB, dir string) string {
-	names := segmentsOf(t, dir)
+	names := segmentFiles(t, dir)
 	return names[len(names)-1]
 }
 
@@ -89,7 +89,7 @@
 	assert.NilError(t, file.Close())
 }
 
-func flip(t testing.TB, path string, offset int64) {
+func flipBit(t testing.TB, path string, offset int64) {
 	t.Helper()
 	data, err := os.ReadFile(path)
 	assert.NilError(t, err)
@@ -97,7 +97,7 @@
 	assert.NilError(t, os.WriteFile(path, data, fileMode))
 }
 
-func isDamaged(t testing.TB, err error, file string) *Damaged {
+func assertDamaged(t testing.TB, err error, file string) *Damaged {
 	t.Helper()
 	var damaged *Damaged
 	assert.Assert(t, errors.As(err, &damaged), "%v", err)
@@ -107,20 +107,20 @@
 
 // Guards against losing or reordering records over a restart.
 func TestRecordsSurviveARestart(t *testing.T) {
-	dir := filled(t, 50)
-	assert.Check(t, len(segmentsOf(t, dir)) > 3)
+	dir := writeTestLog(t, 50)
+	assert.Check(t, len(segmentFiles(t, dir)) > 3)
 	records, err := reopen(t, dir)
 	assert.NilError(t, err)
 	checkRecords(t, records, 50)
 }
 
-// Guards against a crash in the middle of a write that makes the log
-// unusable, at every length that the torn record may have.
+// Guards against a log that cannot be opened after a crash in the middle of a
+// write, for every length that the torn record may have.
 func TestTornRecordIsCutOff(t *testing.T) {
-	whole := appendRecord(nil, Record{Seq: 8, Kind: 3, Index: 8, Data: []byte("torn")})
-	for length := range whole {
-		dir := filled(t, 7)
-		appendBytes(t, lastSegment(t, dir), whole[:length])
+	encoded := appendRecord(nil, Record{Seq: 8, Kind: 3, Index: 8, Data: []byte("torn")})
+	for length := range encoded {
+		dir := writeTestLog(t, 7)
+		appendBytes(t, lastSegment(t, dir), encoded[:length])
 		records, err := reopen(t, dir)
 		assert.NilError(t, err)
 		checkRecords(t, records, 7)
@@ -130,10 +130,11 @@
 	}
 }
 
-// Guards against a crash between the creation of a segment and its first sync.
+// Guards against a log that cannot be opened after a crash between the creation
+// of a segment and its first sync.
 func TestTornSegmentHeaderIsCutOff(t *testing.T) {
 	for length := range segmentHeaderSize {
-		dir := filled(t, 7)
+		dir := writeTestLog(t, 7)
 		next := filepath.Join(dir, segment{firstSeq: 8}.name())
 		assert.NilError(t, os.WriteFile(next, segmentHeader(8)[:length], fileMode))
 		records, err := reopen(t, dir)
@@ -142,19 +143,19 @@
 	}
 }
 
-// Guards against a silent cut when an acknowledged record is damaged: every
-// byte of every segment, the last record's among them.
+// Guards against damage that recovery does not notice or removes as a torn
+// record. The test changes each byte of each segment, also in the last record.
 func TestDamageIsReported(t *testing.T) {
-	dir := filled(t, 20)
-	for _, name := range segmentsOf(t, dir) {
+	dir := writeTestLog(t, 20)
+	for _, name := range segmentFiles(t, dir) {
 		info, err := os.Stat(name)
 		assert.NilError(t, err)
 		for offset := range info.Size() {
-			flip(t, name, offset)
+			flipBit(t, name, offset)
 			_, err := reopen(t, dir)
-			damaged := isDamaged(t, err, name)
+			damaged := assertDamaged(t, err, name)
 			assert.Check(t, damaged.Offset <= offset)
-			flip(t, name, offset)
+			flipBit(t, name, offset)
 		}
 	}
 	records, err := reopen(t, dir)
@@ -162,64 +163,67 @@
 	checkRecords(t, records, 20)
 }
 
-// Guards against acknowledged records that a truncated file makes look torn.
+// Guards against a loss of acknowledged records that recovery takes for a torn
+// write because the last segment was truncated inside a record.
 func TestTruncationOfAcknowledgedRecordsIsReported(t *testing.T) {
-	dir := filled(t, 20)
+	dir := writeTestLog(t, 20)
 	name := lastSegment(t, dir)
 	data, err := os.ReadFile(name)
 	assert.NilError(t, err)
 	for length := range data {
 		assert.NilError(t, os.WriteFile(name, data[:length], fileMode))
 		_, err := reopen(t, dir)
-		isDamaged(t, err, name)
+		assertDamaged(t, err, name)
 	}
 }
 
-// Guards against cutting off an acknowledged record that was overwritten by the
-// start of a longer one.
+// Guards against removing an acknowledged record as torn after it was
+// overwritten by the start of a longer record.
 func TestOverwrittenAcknowledgedRecordIsReported(t *testing.T) {
-	dir := filled(t, 20)
+	dir := writeTestLog(t, 20)
 	name := lastSegment(t, dir)
 	data, err := os.ReadFile(name)
 	assert.NilError(t, err)
-	last := numbered(20)
+	last := testRecord(20)
 	last.Seq = 20
 	start := len(data) - len(appendRecord(nil, last))
 	last.Data = make([]byte, 1000)
 	copy(data[start:], appendRecord(nil, last))
 	assert.NilError(t, os.WriteFile(name, data, fileMode))
 	_, err = reopen(t, dir)
-	assert.Equal(t, isDamaged(t, err, name).Offset, int64(start))
+	assert.Equal(t, assertDamaged(t, err, name).Offset, int64(start))
 }
 
-// Guards against a log that is taken for a new one when files are gone.
+// Guards against missing segments that recovery does not notice, and against a
+// log whose segments are all missing and that is then opened as a new one.
 func TestMissingSegmentIsReported(t *testing.T) {
-	// The first one may be missing: it is removed after a snapshot.
-	for position := 1; position < len(segmentsOf(t, filled(t, 20))); position++ {
-		dir := filled(t, 20)
-		assert.NilError(t, os.Remove(segmentsOf(t, dir)[position]))
+	// The first segment may be missing, since RemoveThrough deletes it after a
+	// snapshot.
+	for position := 1; position < len(segmentFiles(t, writeTestLog(t, 20))); position++ {
+		dir := writeTestLog(t, 20)
+		assert.NilError(t, os.Remove(segmentFiles(t, dir)[position]))
 		_, err := reopen(t, dir)
 		var damaged *Damaged
 		assert.Check(t, errors.As(err, &damaged), "%v", err)
 	}
-	dir := filled(t, 20)
-	for _, name := range segmentsOf(t, dir) {
+	dir := writeTestLog(t, 20)
+	for _, name := range segmentFiles(t, dir) {
 		assert.NilError(t, os.Remove(name))
 	}
 	_, err := reopen(t, dir)
-	isDamaged(t, err, filepath.Join(dir, syncedName))
+	assertDamaged(t, err, filepath.Join(dir, syncedFileName))
 }
 
-// Guards against segments that stay for ever, and against removing records
+// Guards against segments that are never removed, and against removing records
 // that no snapshot covers.
 func TestRemoveThroughKeepsWhatIsNeeded(t *testing.T) {
-	dir := filled(t, 50)
+	dir := writeTestLog(t, 50)
 	f := openFolder(t, dir, nil)
 	log, _, err := f.OpenLog()
 	assert.NilError(t, err)
-	before := len(segmentsOf(t, dir))
+	before := len(segmentFiles(t, dir))
 	assert.NilError(t, log.RemoveThrough(30))
-	assert.Check(t, len(segmentsOf(t, dir)) < before)
+	assert.Check(t, len(segmentFiles(t, dir)) < before)
 	assert.NilError(t, log.Close())
 	assert.NilError(t, f.Close())
 	records, err := reopen(t, dir)
@@ -228,8 +232,8 @@
 	assert.Equal(t, records[len(records)-1].Index, uint64(50))
 }
 
-// Guards against two processes that write the same log.
-func TestFolderIsHeldByOneProcess(t *testing.T) {
+// Guards against two processes that write to the same log.
+func TestFolderIsLockedAgainstSecondOpen(t *testing.T) {
 	dir := t.TempDir()
 	f := openFolder(t, dir, nil)
 	_, err := OpenFolder(Options{Dir: dir})
@@ -239,8 +243,8 @@
 	assert.NilError(t, openFolder(t, dir, nil).Close())
 }
 
-// faultyFS fails writes or syncs of segments on demand. It doesn't really sync,
-// since the tests lose no power.
+// faultyFS makes writes or syncs of segments fail with the errors that are set.
+// It does not sync to the disk, since the tests simulate no power failure.
 type faultyFS struct {
 	OS
 	writeErr, syncErr error
@@ -273,23 +277,23 @@
 	return f.fs.syncErr
 }
 
-// Guards against a log that goes on after a failed write or sync, when nothing
-// is known of what is on the disk.
+// Guards against a log that accepts records after a failed write or sync, when
+// the content on the disk is unknown.
 func TestFailedWriteOrSyncStopsTheLog(t *testing.T) {
 	for _, fs := range []*faultyFS{{writeErr: syscall.ENOSPC}, {syncErr: syscall.EIO}} {
 		cause := errors.Join(fs.writeErr, fs.syncErr)
-		dir := filled(t, 7)
+		dir := writeTestLog(t, 7)
 		faulty := &faultyFS{}
 		f := openFolder(t, dir, faulty)
 		log, _, err := f.OpenLog()
 		assert.NilError(t, err)
 		faulty.writeErr, faulty.syncErr = fs.writeErr, fs.syncErr
-		first := log.Append([]Record{numbered(8)})
-		var typed *Failed
-		assert.Check(t, errors.As(first, &typed), "%v", first)
+		first := log.Append([]Record{testRecord(8)})
+		var fileErr *FileError
+		assert.Check(t, errors.As(first, &fileErr), "%v", first)
 		assert.Check(t, errors.Is(first, cause.(interface{ Unwrap() []error }).Unwrap()[0]))
 		faulty.writeErr, faulty.syncErr = nil, nil
-		assert.Equal(t, log.Append([]Record{numbered(9)}), first)
+		assert.Equal(t, log.Append([]Record{testRecord(9)}), first)
 		assert.Equal(t, log.Rotate(nil), first)
 		assert.NilError(t, log.Close())
 		assert.NilError(t, f.Close())
@@ -299,8 +303,8 @@
 	}
 }
 
-// Guards against a half-written or damaged snapshot that is used.
-func TestSnapshotIsWholeOrReported(t *testing.T) {
+// Guards against using a snapshot that is damaged or was not completely written.
+func TestIncompleteOrDamagedSnapshotIsNotUsed(t *testing.T) {
 	dir := t.TempDir()
 	f := openFolder(t, dir, nil)
 	_, _, ok, err := f.LoadSnapshot()
@@ -322,18 +326,18 @@
 	info, err := os.Stat(name)
 	assert.NilError(t, err)
 	for offset := range info.Size() {
-		flip(t, name, offset)
+		flipBit(t, name, offset)
 		_, _, _, err = f.LoadSnapshot()
-		isDamaged(t, err, name)
-		flip(t, name, offset)
+		assertDamaged(t, err, name)
+		flipBit(t, name, offset)
 	}
 }
 
-// Reports how long recovery takes for several log lengths.
+// Measures how long recovery takes for several log lengths.
 func BenchmarkRecovery(b *testing.B) {
 	for _, total := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("records=%d", total), func(b *testing.B) {
-			dir := longLog(b, total)
+			dir := writeLongLog(b, total)
 			for b.Loop() {
 				f, err := OpenFolder(Options{Dir: dir})
 				assert.NilError(b, err)
@@ -347,7 +351,7 @@
 	}
 }
 
-func longLog(b *testing.B, total int) string {
+func writeLongLog(b *testing.B, total int) string {
 	dir := b.TempDir()
 	f, err := OpenFolder(Options{Dir: dir})
 	assert.NilError(b, err)
