--- a/controlstate/classes.go
+++ b/controlstate/classes.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// maxAnswers bounds the answers kept for resent changes. At 1,500
-	// changes a day it covers five days.
+	// maxAnswers limits how many answers are kept for changes that are sent
+	// again. At 1,500 changes a day, this covers five days.
 	maxAnswers = 8192
-	// maxHistory bounds the changes kept for operators.
+	// maxHistory limits how many accepted changes are kept for operators.
 	maxHistory = 8192
 )
 
-// ClassFromMessage converts a class of a message.
+// ClassFromMessage converts a protobuf message to a class.
 func ClassFromMessage(m *pb.Class) class.Class {
 	return class.Class{
 		Name: m.GetName(),
@@ -28,16 +28,17 @@
 	}
 }
 
-// ClassToMessage converts a class to its message.
+// ClassToMessage converts a class to its protobuf message.
 func ClassToMessage(c class.Class) *pb.Class {
 	return &pb.Class{Name: c.Name, WaitMicros: c.Wait.Microseconds(), AgeMicros: c.Age.Microseconds()}
 }
 
-// Problems returns why a change can never be accepted; none if it is valid.
-// It depends on the request alone.
+// Problems validates a class change. It returns the reasons why the change
+// can't be accepted in any state, or none. The result depends on the request
+// alone.
 func Problems(r *pb.ChangeClassRequest) []string {
 	var problems []string
-	if r.GetChangeId() == "" || len(r.GetChangeId()) > maxChangeID {
+	if r.GetChangeId() == "" || len(r.GetChangeId()) > maxChangeIDBytes {
 		problems = append(problems, "change_id: must have 1 to 128 bytes")
 	}
 	if r.GetRemove() {
@@ -52,35 +53,38 @@
 	return problems
 }
 
-const maxChangeID = 128
+const maxChangeIDBytes = 128
 
-func accepted(r *pb.ChangeClassResponse) bool {
+func isAccepted(r *pb.ChangeClassResponse) bool {
 	return !r.GetConflict() && len(r.GetProblems()) == 0
 }
 
-// changeClass answers a resent change id as it was answered first.
-func (s *State) changeClass(r *pb.ChangeClassRequest, at int64) *pb.ChangeClassResponse {
+// changeClass applies a class change. If the change id was answered before, it
+// returns the first answer again and changes nothing, so that a change can be
+// sent again after a lost answer.
+func (s *State) changeClass(r *pb.ChangeClassRequest, acceptedUnixMicros int64) *pb.ChangeClassResponse {
 	if first, ok := s.answers.get(r.GetChangeId()); ok {
 		return first
 	}
-	response := s.judge(r)
+	response := s.evaluateClassChange(r)
 	if len(Problems(r)) > 0 {
 		return response
 	}
-	if accepted(response) {
-		s.acceptClass(r, at)
+	if isAccepted(response) {
+		s.acceptClassChange(r, acceptedUnixMicros)
 	}
-	s.answers.put(r.GetChangeId(), response)
+	s.answers.add(r.GetChangeId(), response)
 	return response
 }
 
-// judge says what the answer to a change is in the current state.
-func (s *State) judge(r *pb.ChangeClassRequest) *pb.ChangeClassResponse {
+// evaluateClassChange returns the answer to a class change in the current state,
+// without applying the change.
+func (s *State) evaluateClassChange(r *pb.ChangeClassRequest) *pb.ChangeClassResponse {
 	if problems := Problems(r); len(problems) > 0 {
 		return &pb.ChangeClassResponse{Version: s.classVersion, Problems: problems}
 	}
 	if r.GetExpectedVersion() != s.classVersion {
-		return &pb.ChangeClassResponse{Version: s.classVersion, Conflict: true, Winner: s.winner(r.GetExpectedVersion())}
+		return &pb.ChangeClassResponse{Version: s.classVersion, Conflict: true, Winner: s.conflictingChange(r.GetExpectedVersion())}
 	}
 	if _, ok := s.classes[r.GetClass().GetName()]; r.GetRemove() && !ok {
 		return &pb.ChangeClassResponse{Version: s.classVersion, Problems: []string{"class: " + r.GetClass().GetName() + " is not defined"}}
@@ -88,7 +92,7 @@
 	return &pb.ChangeClassResponse{Version: s.classVersion + 1}
 }
 
-func (s *State) acceptClass(r *pb.ChangeClassRequest, at int64) {
+func (s *State) acceptClassChange(r *pb.ChangeClassRequest, acceptedUnixMicros int64) {
 	s.classVersion++
 	stored := proto.CloneOf(r.GetClass())
 	if r.GetRemove() {
@@ -102,19 +106,20 @@
 		Operator:           r.GetOperator(),
 		Class:              stored,
 		Removed:            r.GetRemove(),
-		AcceptedUnixMicros: at,
+		AcceptedUnixMicros: acceptedUnixMicros,
 	})
 	if len(s.history) > maxHistory {
 		s.history = slices.Clone(s.history[len(s.history)-maxHistory:])
 	}
-	s.bumpConfig()
+	s.incrementConfigVersion()
 }
 
-// winner returns the change that was accepted on top of the expected version,
-// or the latest change if that one is not known.
-func (s *State) winner(expected uint64) *pb.ClassChange {
+// conflictingChange returns the change that was accepted instead of a change that
+// expected expectedVersion. If the history no longer has it, it returns the
+// latest change, or nil if there is none.
+func (s *State) conflictingChange(expectedVersion uint64) *pb.ClassChange {
 	for _, c := range s.history {
-		if c.GetVersion() == expected+1 {
+		if c.GetVersion() == expectedVersion+1 {
 			return c
 		}
 	}
@@ -124,17 +129,17 @@
 	return s.history[len(s.history)-1]
 }
 
-// DryRun returns the answer that a change would get now, and changes nothing.
+// DryRun returns the answer that a change would get now, without applying it.
 func (s *State) DryRun(r *pb.ChangeClassRequest) *pb.ChangeClassResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if first, ok := s.answers.get(r.GetChangeId()); ok {
 		return first
 	}
-	return s.judge(r)
+	return s.evaluateClassChange(r)
 }
 
-// Classes returns the version of the classes and the classes by name.
+// Classes returns the version of the classes and the classes, sorted by name.
 func (s *State) Classes() (uint64, []*pb.Class) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,10 +176,11 @@
 	return names
 }
 
-// answerCache keeps the first answers of the latest change ids, oldest first.
+// answerCache keeps the answers to the latest changes, by change id. It drops
+// the oldest answer once it holds more than limit.
 type answerCache struct {
 	limit int
-	order []string
+	ids   []string
 	byID  map[string]*pb.ChangeClassResponse
 }
 
@@ -182,17 +188,17 @@
 	return &answerCache{limit: limit, byID: map[string]*pb.ChangeClassResponse{}}
 }
 
-func (b *answerCache) get(id string) (*pb.ChangeClassResponse, bool) {
-	r, ok := b.byID[id]
+func (c *answerCache) get(id string) (*pb.ChangeClassResponse, bool) {
+	r, ok := c.byID[id]
 	return r, ok
 }
 
-func (b *answerCache) put(id string, r *pb.ChangeClassResponse) {
-	b.byID[id] = r
-	b.order = append(b.order, id)
-	if len(b.order) <= b.limit {
+func (c *answerCache) add(id string, r *pb.ChangeClassResponse) {
+	c.byID[id] = r
+	c.ids = append(c.ids, id)
+	if len(c.ids) <= c.limit {
 		return
 	}
-	delete(b.byID, b.order[0])
-	b.order = b.order[1:]
+	delete(c.byID, c.ids[0])
+	c.ids = c.ids[1:]
 }
--- a/controlstate/frame.go
+++ b/controlstate/frame.go
@@ -10,8 +10,9 @@
 	"lovageslip/upstream"
 )
 
-// Frame is one version of the state as messages. It is immutable, and so are
-// the messages. Frames share the messages that did not change between them.
+// Frame is an immutable copy of one version of the state, as protobuf messages.
+// Frames share the messages that did not change between their versions, so the
+// messages must not be modified either.
 type Frame struct {
 	Version       uint64
 	ConfigVersion uint64
@@ -25,7 +26,7 @@
 	byDatabase func() map[string][]*pb.Upstream
 }
 
-// Frame returns the current frame.
+// Frame returns the current version of the state.
 func (s *State) Frame() *Frame {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,21 +46,22 @@
 		Hosts:         maps.Clone(s.hosts),
 	}
 	f.view = sync.OnceValue(f.buildView)
-	f.byOwner = sync.OnceValue(func() map[string][]*pb.Upstream { return f.index((*pb.Upstream).GetOwner) })
-	f.byDatabase = sync.OnceValue(func() map[string][]*pb.Upstream { return f.index((*pb.Upstream).GetDatabase) })
+	f.byOwner = sync.OnceValue(func() map[string][]*pb.Upstream { return f.indexUpstreams((*pb.Upstream).GetOwner) })
+	f.byDatabase = sync.OnceValue(func() map[string][]*pb.Upstream { return f.indexUpstreams((*pb.Upstream).GetDatabase) })
 	return f
 }
 
-// View returns the frame in the form that the request path uses.
+// View returns the frame as a registry.View, which the proxies use to route
+// requests.
 func (f *Frame) View() *registry.View { return f.view() }
 
-// OwnedBy returns the upstreams that a host owns, by name.
+// OwnedBy returns the upstreams that a host owns, sorted by name.
 func (f *Frame) OwnedBy(host string) []*pb.Upstream { return f.byOwner()[host] }
 
-// InDatabase returns the upstreams of a database, by name.
+// InDatabase returns the upstreams of a database, sorted by name.
 func (f *Frame) InDatabase(database string) []*pb.Upstream { return f.byDatabase()[database] }
 
-func (f *Frame) index(key func(*pb.Upstream) string) map[string][]*pb.Upstream {
+func (f *Frame) indexUpstreams(key func(*pb.Upstream) string) map[string][]*pb.Upstream {
 	index := map[string][]*pb.Upstream{}
 	for _, u := range sortedValues(f.Upstreams) {
 		if k := key(u); k != "" {
@@ -93,7 +95,7 @@
 	return v
 }
 
-// UpstreamFromMessage converts a registered upstream.
+// UpstreamFromMessage converts the message of a registered upstream.
 func UpstreamFromMessage(m *pb.Upstream) registry.Upstream {
 	return registry.Upstream{
 		Name:           m.GetName(),
@@ -109,7 +111,8 @@
 	}
 }
 
-// GroupFromMessage converts a group. The primary is empty during a change.
+// GroupFromMessage converts the message of a group. The primary is empty during
+// a change of primary.
 func GroupFromMessage(m *pb.Group) registry.Group {
 	return registry.Group{
 		Database: m.GetDatabase(),
--- a/controlstate/groups.go
+++ b/controlstate/groups.go
@@ -9,16 +9,17 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// joinNewGroup makes an upstream a member at once if its group has never had
-// a primary: nothing was acknowledged that a majority would have to hold.
-// Later members are added one at a time with ChangeMember.
-func (s *State) joinNewGroup(u *pb.Upstream) {
-	g, known := s.groups[u.GetDatabase()]
-	if !known {
+// addToNewGroup makes an upstream a member of its group if the group has never
+// had a primary. This is safe because no write was acknowledged yet that a
+// majority of the members would have to hold. Later members are added one at a
+// time by the command ChangeMember.
+func (s *State) addToNewGroup(u *pb.Upstream) {
+	g, found := s.groups[u.GetDatabase()]
+	if !found {
 		s.groups[u.GetDatabase()] = &pb.Group{Database: u.GetDatabase(), Members: []string{u.GetName()}}
 		return
 	}
-	if !isNew(g) || isMember(g, u.GetName()) {
+	if !isNewGroup(g) || isMember(g, u.GetName()) {
 		return
 	}
 	next := proto.CloneOf(g)
@@ -27,8 +28,8 @@
 	s.groups[u.GetDatabase()] = next
 }
 
-// isNew is true until the group has its first primary or promotion.
-func isNew(g *pb.Group) bool {
+// isNewGroup reports whether the group has had no primary and no promotion yet.
+func isNewGroup(g *pb.Group) bool {
 	return g.GetStep() == pb.PromotionStep_PROMOTION_STEP_UNSPECIFIED
 }
 
@@ -36,10 +37,11 @@
 	return slices.Contains(g.GetMembers(), name)
 }
 
-// adoptPrimary accepts only the first primary of a group.
+// adoptPrimary records the first primary of a group. It refuses if the group
+// already had a primary or a promotion.
 func (s *State) adoptPrimary(a *pb.AdoptPrimary) bool {
-	g, known := s.groups[a.GetDatabase()]
-	if !known || !isNew(g) || a.GetTerm() == 0 || !isMember(g, a.GetUpstream()) {
+	g, found := s.groups[a.GetDatabase()]
+	if !found || !isNewGroup(g) || a.GetTerm() == 0 || !isMember(g, a.GetUpstream()) {
 		return false
 	}
 	next := proto.CloneOf(g)
@@ -51,11 +53,12 @@
 	return true
 }
 
-// promotionStarted accepts only rising terms, so that of two leaders that
-// start the same term one wins. The group has no primary from here on.
+// promotionStarted starts a new term, in which the group has no primary until
+// the promotion is finished. The term must be higher than the current one, so
+// that only one of two leaders that start the same term succeeds.
 func (s *State) promotionStarted(p *pb.PromotionStarted) bool {
-	g, known := s.groups[p.GetDatabase()]
-	if !known || p.GetTerm() <= g.GetTerm() {
+	g, found := s.groups[p.GetDatabase()]
+	if !found || p.GetTerm() <= g.GetTerm() {
 		return false
 	}
 	next := proto.CloneOf(g)
@@ -68,12 +71,12 @@
 	return true
 }
 
-// promotionChosen accepts one choice per term: two primaries of one term can
-// never be promoted.
+// promotionChosen records which upstream is to become the primary. It accepts
+// one choice per term, so that a term never has two primaries.
 func (s *State) promotionChosen(p *pb.PromotionChosen) bool {
-	g, known := s.groups[p.GetDatabase()]
+	g, found := s.groups[p.GetDatabase()]
 	started := g.GetStep() == pb.PromotionStep_PROMOTION_STEP_STARTED
-	if !known || !started || g.GetTerm() != p.GetTerm() || !isMember(g, p.GetUpstream()) {
+	if !found || !started || g.GetTerm() != p.GetTerm() || !isMember(g, p.GetUpstream()) {
 		return false
 	}
 	next := proto.CloneOf(g)
@@ -84,9 +87,9 @@
 }
 
 func (s *State) promotionFinished(p *pb.PromotionFinished) bool {
-	g, known := s.groups[p.GetDatabase()]
+	g, found := s.groups[p.GetDatabase()]
 	chosen := g.GetStep() == pb.PromotionStep_PROMOTION_STEP_CHOSEN
-	if !known || !chosen || g.GetTerm() != p.GetTerm() {
+	if !found || !chosen || g.GetTerm() != p.GetTerm() {
 		return false
 	}
 	next := proto.CloneOf(g)
@@ -97,13 +100,13 @@
 	return true
 }
 
-// changeMember adds or removes one member between changes of primary. The
-// leader checks before that earlier members hold what was acknowledged; see
-// package failover.
+// changeMember adds or removes one member of a group. It refuses during a change
+// of primary. Before the leader proposes the command, it checks that a majority of
+// the earlier members holds all acknowledged writes; see package failover.
 func (s *State) changeMember(c *pb.ChangeMember) bool {
-	g, known := s.groups[c.GetDatabase()]
-	settled := g.GetStep() == pb.PromotionStep_PROMOTION_STEP_FINISHED && g.GetTerm() == c.GetTerm()
-	if !known || !settled || isMember(g, c.GetUpstream()) != c.GetRemove() {
+	g, found := s.groups[c.GetDatabase()]
+	finished := g.GetStep() == pb.PromotionStep_PROMOTION_STEP_FINISHED && g.GetTerm() == c.GetTerm()
+	if !found || !finished || isMember(g, c.GetUpstream()) != c.GetRemove() {
 		return false
 	}
 	next := proto.CloneOf(g)
@@ -126,5 +129,5 @@
 
 func (s *State) setGroup(g *pb.Group) {
 	s.groups[g.GetDatabase()] = g
-	s.bumpConfig()
+	s.incrementConfigVersion()
 }
--- a/controlstate/snapshot.go
+++ b/controlstate/snapshot.go
@@ -16,16 +16,16 @@
 
 func (e *SnapshotError) Unwrap() error { return e.Err }
 
-// Snapshot returns the whole state as an encoded ControlState.
+// Snapshot returns the whole state as an encoded ControlState message.
 func (s *State) Snapshot() ([]byte, error) {
-	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(s.message())
+	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(s.toMessage())
 	if err != nil {
 		return nil, &SnapshotError{Op: "encode", Err: err}
 	}
 	return data, nil
 }
 
-func (s *State) message() *pb.ControlState {
+func (s *State) toMessage() *pb.ControlState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := &pb.ControlState{
@@ -39,13 +39,14 @@
 		Hosts:         sortedValues(s.hosts),
 		History:       append([]*pb.ClassChange(nil), s.history...),
 	}
-	for _, id := range s.answers.order {
+	for _, id := range s.answers.ids {
 		m.Answers = append(m.Answers, &pb.ChangeAnswer{ChangeId: id, Response: s.answers.byID[id]})
 	}
 	return m
 }
 
-// Restore replaces the whole state. On an error the state is unchanged.
+// Restore replaces the whole state with the one that Snapshot encoded. On an
+// error the state is unchanged.
 func (s *State) Restore(data []byte) error {
 	m := &pb.ControlState{}
 	if err := proto.Unmarshal(data, m); err != nil {
@@ -58,10 +59,10 @@
 	s.configVersion = m.GetConfigVersion()
 	s.classVersion = m.GetClassVersion()
 	s.leaderTerm = m.GetLeaderTerm()
-	s.merge(&pb.WatchResponse{Classes: m.GetClasses(), Upstreams: m.GetUpstreams(), Groups: m.GetGroups(), Hosts: m.GetHosts()})
+	s.mergeChanges(&pb.WatchResponse{Classes: m.GetClasses(), Upstreams: m.GetUpstreams(), Groups: m.GetGroups(), Hosts: m.GetHosts()})
 	s.history = m.GetHistory()
 	for _, a := range m.GetAnswers() {
-		s.answers.put(a.GetChangeId(), a.GetResponse())
+		s.answers.add(a.GetChangeId(), a.GetResponse())
 	}
 	s.notify()
 	return nil
--- a/controlstate/state.go
+++ b/controlstate/state.go
@@ -1,7 +1,10 @@
-// Package controlstate is the replicated state of the control hosts: classes,
-// registered upstreams, ownership, proxy hosts, and the term, primary and
-// promotion step of each group. All decisions that must be agreed on are made
-// here, by guards that depend on the state and the command alone.
+// Package controlstate implements the replicated state machine of the control
+// hosts. The state consists of the classes, the registered upstreams and their
+// owners, the proxy hosts, and the term, primary and promotion step of each
+// group. Package consensus applies each committed command to it on every control
+// host. Whether a command takes effect depends on the state and the command
+// alone, so that all control hosts reach the same state. Proxies receive copies
+// of the state as Frames.
 package controlstate
 
 import (
@@ -17,15 +20,15 @@
 	"lovageslip/registry"
 )
 
-// Options configures a State. The zero value is usable.
+// Options are the parameters of New. The zero value is usable.
 type Options struct {
 	Log     *slog.Logger
 	Metrics tally.Scope
 }
 
-// State implements consensus.StateMachine over the message Command. Messages
-// in its maps are never modified in place, so that frames may share them.
-// All methods are safe for concurrent use.
+// State implements consensus.StateMachine for encoded Command messages. The
+// messages in its maps are replaced, never modified, so that frames can share
+// them. All methods are safe for concurrent use.
 type State struct {
 	log     *slog.Logger
 	metrics tally.Scope
@@ -42,7 +45,7 @@
 	hosts         map[string]*pb.Host
 	history       []*pb.ClassChange
 	answers       *answerCache
-	frame         *Frame // nil if older than version
+	frame         *Frame // cached; nil after a change until Frame is called
 	changed       chan struct{}
 }
 
@@ -68,26 +71,28 @@
 }
 
 // Apply applies a committed command and returns an encoded CommandResult. A
-// command that cannot be decoded, or that a guard refuses, changes nothing.
+// command that cannot be decoded or that is refused changes nothing.
 func (s *State) Apply(_ uint64, command []byte) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	result := &pb.CommandResult{}
 	cmd := &pb.Command{}
-	before := s.version
-	if err := proto.Unmarshal(command, cmd); err == nil && s.admitLeader(cmd) {
-		s.dispatch(cmd, result)
+	oldVersion := s.version
+	if err := proto.Unmarshal(command, cmd); err == nil && s.acceptLeaderTerm(cmd) {
+		s.applyCommand(cmd, result)
 	}
 	result.Version = s.version
-	if s.version != before {
+	if s.version != oldVersion {
 		s.notify()
 	}
-	s.count(result.Applied)
+	s.countCommand(result.Applied)
 	return encode(result)
 }
 
-// admitLeader refuses commands of leaders that have been replaced.
-func (s *State) admitLeader(cmd *pb.Command) bool {
+// acceptLeaderTerm reports whether a command may be applied, and stores its
+// leader term if it has one. It refuses the commands of a leader that has been
+// replaced, since they may be committed late.
+func (s *State) acceptLeaderTerm(cmd *pb.Command) bool {
 	if cmd.LeaderTerm == 0 {
 		return !needsLeader(cmd)
 	}
@@ -98,8 +103,9 @@
 	return true
 }
 
-// needsLeader is true for all commands that a control leader decides by what
-// it knows of leases and health.
+// needsLeader reports whether only a control leader may propose a command,
+// because the decision depends on the leases and the health of upstreams that
+// the leader knows.
 func needsLeader(cmd *pb.Command) bool {
 	switch cmd.Command.(type) {
 	case *pb.Command_ChangeClass, *pb.Command_Register:
@@ -108,11 +114,11 @@
 	return true
 }
 
-func (s *State) dispatch(cmd *pb.Command, result *pb.CommandResult) {
+func (s *State) applyCommand(cmd *pb.Command, result *pb.CommandResult) {
 	switch c := cmd.Command.(type) {
 	case *pb.Command_ChangeClass:
 		result.ClassChange = s.changeClass(c.ChangeClass, cmd.ProposedUnixMicros)
-		result.Applied = accepted(result.ClassChange)
+		result.Applied = isAccepted(result.ClassChange)
 	case *pb.Command_Register:
 		result.Applied = s.register(c.Register.GetAnnounce())
 	case *pb.Command_Assign:
@@ -138,7 +144,7 @@
 	}
 }
 
-func (s *State) count(applied bool) {
+func (s *State) countCommand(applied bool) {
 	if applied {
 		s.metrics.Counter("commands_applied_total").Inc(1)
 		return
@@ -146,15 +152,15 @@
 	s.metrics.Counter("commands_refused_total").Inc(1)
 }
 
-// bump records a change that no request depends on.
-func (s *State) bump() {
+// incrementVersion marks a change of the state that does not affect requests.
+func (s *State) incrementVersion() {
 	s.version++
 	s.frame = nil
 }
 
-// bumpConfig records a change that requests depend on.
-func (s *State) bumpConfig() {
-	s.bump()
+// incrementConfigVersion marks a change of the state that affects requests.
+func (s *State) incrementConfigVersion() {
+	s.incrementVersion()
 	s.configVersion = s.version
 }
 
@@ -163,7 +169,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed at the next change of the state.
 func (s *State) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +179,7 @@
 // View returns the current view. It is never nil.
 func (s *State) View() *registry.View { return s.Frame().View() }
 
-// LeaderTerm returns the highest term of a control leader seen in a command.
+// LeaderTerm returns the highest leader term of all committed commands so far.
 func (s *State) LeaderTerm() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,14 +189,15 @@
 func encode(m proto.Message) []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		// Only invalid UTF-8 fails to encode, and such a command fails to decode.
+		// Encoding fails only for invalid UTF-8, and a command with invalid
+		// UTF-8 cannot be decoded in the first place.
 		return nil
 	}
 	return data
 }
 
-// DecodeResult decodes what Apply returned. It returns an empty result if the
-// data are damaged.
+// DecodeResult decodes the CommandResult that Apply returned. It returns an empty
+// result if data cannot be decoded.
 func DecodeResult(data []byte) *pb.CommandResult {
 	result := &pb.CommandResult{}
 	if err := proto.Unmarshal(data, result); err != nil {
--- a/controlstate/state_test.go
+++ b/controlstate/state_test.go
@@ -25,37 +25,37 @@
 	}}}
 }
 
-func announce(name string, leaving bool) *pb.Command {
+func registerUpstream(name string, leaving bool) *pb.Command {
 	return &pb.Command{Command: &pb.Command_Register{Register: &pb.RegisterUpstream{Announce: &pb.AnnounceRequest{
 		Name: name, Database: "shop", Address: "127.0.0.1:1", Slots: 1, MaxConnections: 1, Leaving: leaving,
 	}}}}
 }
 
-func host(name string, incarnation uint64) *pb.Command {
+func registerHost(name string, incarnation uint64) *pb.Command {
 	return &pb.Command{LeaderTerm: leaderTerm, Command: &pb.Command_Host{Host: &pb.RegisterHost{
 		Host: &pb.Host{Name: name, Address: "127.0.0.1:2", Incarnation: incarnation},
 	}}}
 }
 
-func assign(name, owner string, epoch, term uint64) *pb.Command {
+func assignOwner(name, owner string, epoch, term uint64) *pb.Command {
 	return &pb.Command{LeaderTerm: term, Command: &pb.Command_Assign{Assign: &pb.AssignOwner{
 		Upstream: name, Host: owner, ExpectedEpoch: epoch,
 	}}}
 }
 
-func started(term uint64) *pb.Command {
+func startPromotion(term uint64) *pb.Command {
 	return &pb.Command{LeaderTerm: leaderTerm, Command: &pb.Command_PromotionStarted{
 		PromotionStarted: &pb.PromotionStarted{Database: "shop", Term: term},
 	}}
 }
 
-func chosen(term uint64, name string) *pb.Command {
+func choosePrimary(term uint64, name string) *pb.Command {
 	return &pb.Command{LeaderTerm: leaderTerm, Command: &pb.Command_PromotionChosen{
 		PromotionChosen: &pb.PromotionChosen{Database: "shop", Term: term, Upstream: name},
 	}}
 }
 
-func restored(t *testing.T, s *controlstate.State) *controlstate.State {
+func restoreFromSnapshot(t *testing.T, s *controlstate.State) *controlstate.State {
 	t.Helper()
 	data, err := s.Snapshot()
 	assert.NilError(t, err)
@@ -64,8 +64,8 @@
 	return other
 }
 
-// Of two changes with the same expected version exactly one may win, and the
-// other must learn which.
+// Guards against two accepted changes with the same expected version. The second
+// one must be refused and name the first one.
 func TestSecondChangeOfAVersionGetsTheWinner(t *testing.T) {
 	s := controlstate.New(controlstate.Options{})
 	first := apply(s, changeClass("one", 0, "short")).GetClassChange()
@@ -76,14 +76,15 @@
 	assert.Equal(t, len(s.View().Classes), 1)
 }
 
-// A change that is sent again after a lost answer must get its first answer
-// and change nothing, also from a host that was restored from a snapshot.
+// Guards against applying a change twice when it is sent again after a lost
+// answer. It must get its first answer, also from a host that was restored from a
+// snapshot.
 func TestResentChangeGetsItsFirstAnswerAfterRestore(t *testing.T) {
 	s := controlstate.New(controlstate.Options{})
 	won := apply(s, changeClass("one", 0, "short")).GetClassChange()
 	lost := apply(s, changeClass("two", 0, "long")).GetClassChange()
 	apply(s, changeClass("three", 1, "other"))
-	for _, state := range []*controlstate.State{s, restored(t, s)} {
+	for _, state := range []*controlstate.State{s, restoreFromSnapshot(t, s)} {
 		version := state.View().Version
 		assert.Assert(t, proto.Equal(apply(state, changeClass("one", 0, "short")).GetClassChange(), won))
 		assert.Assert(t, proto.Equal(apply(state, changeClass("two", 0, "long")).GetClassChange(), lost))
@@ -91,8 +92,8 @@
 	}
 }
 
-// A configuration must survive hundreds of changes and a restore, and the
-// stored answers must stay bounded.
+// Guards against losing classes after thousands of changes and a restore, and
+// against stored answers that grow without limit.
 func TestThousandsOfChangesThenRestore(t *testing.T) {
 	s := controlstate.New(controlstate.Options{})
 	const changes = 9000
@@ -100,67 +101,69 @@
 		r := apply(s, changeClass(fmt.Sprint("change", i), uint64(i), fmt.Sprint("c", i%50)))
 		assert.Assert(t, r.GetApplied())
 	}
-	other := restored(t, s)
+	other := restoreFromSnapshot(t, s)
 	version, classes := other.Classes()
 	assert.Equal(t, version, uint64(changes))
 	assert.Equal(t, len(classes), 50)
-	again := apply(other, changeClass(fmt.Sprint("change", changes-5000), changes-5000, "c0")).GetClassChange()
-	assert.Equal(t, again.GetVersion(), uint64(changes-5000+1))
+	resent := apply(other, changeClass(fmt.Sprint("change", changes-5000), changes-5000, "c0")).GetClassChange()
+	assert.Equal(t, resent.GetVersion(), uint64(changes-5000+1))
 	data, err := other.Snapshot()
 	assert.NilError(t, err)
 	assert.Assert(t, len(data) < 2<<20, "snapshot has %d bytes", len(data))
 }
 
-// A command of a replaced leader may be committed late; it must not change
-// ownership after its successor has started.
+// Guards against a command of a replaced leader that is committed late and changes
+// an owner after the next leader has started.
 func TestCommandOfReplacedLeaderIsRefused(t *testing.T) {
 	s := controlstate.New(controlstate.Options{})
-	apply(s, announce("u1", false))
-	apply(s, host("p1", 1))
+	apply(s, registerUpstream("u1", false))
+	apply(s, registerHost("p1", 1))
 	apply(s, &pb.Command{LeaderTerm: 2, Command: &pb.Command_LeaderStarted{LeaderStarted: &pb.LeaderStarted{}}})
-	for _, state := range []*controlstate.State{s, restored(t, s)} {
-		assert.Assert(t, !apply(state, assign("u1", "p1", 0, 1)).GetApplied())
-		assert.Assert(t, !apply(state, assign("u1", "p1", 0, 0)).GetApplied())
+	for _, state := range []*controlstate.State{s, restoreFromSnapshot(t, s)} {
+		assert.Assert(t, !apply(state, assignOwner("u1", "p1", 0, 1)).GetApplied())
+		assert.Assert(t, !apply(state, assignOwner("u1", "p1", 0, 0)).GetApplied())
 		assert.Equal(t, state.View().Upstreams["u1"].Owner, "")
 	}
 }
 
-// Two assignments of one epoch must not both take effect.
+// Guards against two owners of one upstream when two assignments expect the same
+// epoch.
 func TestSecondAssignmentOfAnEpochIsRefused(t *testing.T) {
 	s := controlstate.New(controlstate.Options{})
-	apply(s, announce("u1", false))
-	apply(s, host("p1", 1))
-	apply(s, host("p2", 1))
-	assert.Assert(t, apply(s, assign("u1", "p1", 0, leaderTerm)).GetApplied())
-	assert.Assert(t, !apply(s, assign("u1", "p2", 0, leaderTerm)).GetApplied())
+	apply(s, registerUpstream("u1", false))
+	apply(s, registerHost("p1", 1))
+	apply(s, registerHost("p2", 1))
+	assert.Assert(t, apply(s, assignOwner("u1", "p1", 0, leaderTerm)).GetApplied())
+	assert.Assert(t, !apply(s, assignOwner("u1", "p2", 0, leaderTerm)).GetApplied())
 	assert.Equal(t, s.View().Upstreams["u1"].Owner, "p1")
 	assert.Equal(t, s.View().Upstreams["u1"].OwnerAddress, "127.0.0.1:2")
 }
 
-// A restarted process must not inherit the epoch of the process before it.
+// Guards against a restarted host that goes on as owner under the epoch of its
+// earlier process.
 func TestRestartedHostLosesItsUpstreams(t *testing.T) {
 	s := controlstate.New(controlstate.Options{})
-	apply(s, announce("u1", false))
-	apply(s, host("p1", 1))
-	apply(s, assign("u1", "p1", 0, leaderTerm))
-	apply(s, host("p1", 2))
+	apply(s, registerUpstream("u1", false))
+	apply(s, registerHost("p1", 1))
+	apply(s, assignOwner("u1", "p1", 0, leaderTerm))
+	apply(s, registerHost("p1", 2))
 	assert.Equal(t, s.View().Upstreams["u1"].Owner, "")
 	assert.Equal(t, s.View().Upstreams["u1"].OwnerEpoch, uint64(2))
 }
 
-// Two primaries of one term must be impossible: one start and one choice per
-// term.
+// Guards against two primaries in one term: a term can be started once, and one
+// upstream can be chosen in it.
 func TestOneChoicePerTerm(t *testing.T) {
 	s := controlstate.New(controlstate.Options{})
 	for _, name := range []string{"a", "b"} {
-		apply(s, announce(name, false))
+		apply(s, registerUpstream(name, false))
 	}
-	assert.Assert(t, apply(s, started(2)).GetApplied())
-	assert.Assert(t, !apply(s, started(2)).GetApplied())
-	assert.Assert(t, !apply(s, started(1)).GetApplied())
-	assert.Assert(t, !apply(s, chosen(2, "x")).GetApplied())
-	assert.Assert(t, apply(s, chosen(2, "a")).GetApplied())
-	assert.Assert(t, !apply(s, chosen(2, "b")).GetApplied())
+	assert.Assert(t, apply(s, startPromotion(2)).GetApplied())
+	assert.Assert(t, !apply(s, startPromotion(2)).GetApplied())
+	assert.Assert(t, !apply(s, startPromotion(1)).GetApplied())
+	assert.Assert(t, !apply(s, choosePrimary(2, "x")).GetApplied())
+	assert.Assert(t, apply(s, choosePrimary(2, "a")).GetApplied())
+	assert.Assert(t, !apply(s, choosePrimary(2, "b")).GetApplied())
 	assert.Equal(t, s.View().Groups["shop"].Primary, "")
 	finish := &pb.Command{LeaderTerm: leaderTerm, Command: &pb.Command_PromotionFinished{
 		PromotionFinished: &pb.PromotionFinished{Database: "shop", Term: 2},
@@ -169,8 +172,9 @@
 	assert.Equal(t, s.View().Groups["shop"].Primary, "a")
 }
 
-// Requests are refused by config version, so it must rise exactly with the
-// changes that they depend on.
+// Guards against requests that are refused without need or served with an outdated
+// configuration. A proxy refuses requests while its config version is behind, so
+// that version must increase with the changes that affect requests and no others.
 func TestConfigVersionRisesOnlyWithWhatRequestsDependOn(t *testing.T) {
 	s := controlstate.New(controlstate.Options{})
 	rises := func(cmd *pb.Command) bool {
@@ -179,47 +183,48 @@
 		assert.Equal(t, s.View().Version, before.Version+1)
 		return s.View().ConfigVersion > before.ConfigVersion
 	}
-	assert.Assert(t, !rises(announce("u1", false)))
-	assert.Assert(t, !rises(host("p1", 1)))
-	assert.Assert(t, rises(assign("u1", "p1", 0, leaderTerm)))
-	assert.Assert(t, rises(announce("u1", true)))
+	assert.Assert(t, !rises(registerUpstream("u1", false)))
+	assert.Assert(t, !rises(registerHost("p1", 1)))
+	assert.Assert(t, rises(assignOwner("u1", "p1", 0, leaderTerm)))
+	assert.Assert(t, rises(registerUpstream("u1", true)))
 	assert.Assert(t, rises(changeClass("one", 0, "short")))
-	assert.Assert(t, rises(started(5)))
-	assert.Equal(t, restored(t, s).View().ConfigVersion, s.View().ConfigVersion)
+	assert.Assert(t, rises(startPromotion(5)))
+	assert.Equal(t, restoreFromSnapshot(t, s).View().ConfigVersion, s.View().ConfigVersion)
 }
 
-func command(t *rapid.T) *pb.Command {
+func drawCommand(t *rapid.T) *pb.Command {
 	name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
 	number := rapid.Uint64Range(0, 6).Draw(t, "number")
 	switch rapid.IntRange(0, 7).Draw(t, "kind") {
 	case 0:
 		return changeClass(fmt.Sprint("id", number), number, "class_"+name)
 	case 1:
-		return announce(name, number%2 == 0)
+		return registerUpstream(name, number%2 == 0)
 	case 2:
-		return host("p"+name, number%2+1)
+		return registerHost("p"+name, number%2+1)
 	case 3:
-		return assign(name, "p"+name, number, leaderTerm)
+		return assignOwner(name, "p"+name, number, leaderTerm)
 	case 4:
-		return started(number)
+		return startPromotion(number)
 	case 5:
-		return chosen(number, name)
+		return choosePrimary(number, name)
 	case 6:
 		return &pb.Command{LeaderTerm: leaderTerm, Command: &pb.Command_RemoveHost{RemoveHost: &pb.RemoveHost{Name: "p" + name}}}
 	}
 	return &pb.Command{LeaderTerm: leaderTerm, Command: &pb.Command_RemoveUpstream{RemoveUpstream: &pb.RemoveUpstream{Name: name}}}
 }
 
-// Control hosts must agree however they got to a state: by all commands, by a
-// snapshot and the rest, or a proxy by a whole message and differences.
+// Guards against hosts that disagree about the state. It must be the same whether
+// a control host applied all commands, or restored a snapshot and applied the
+// commands after it, or a proxy received a whole message and then changes.
 func TestSnapshotAndDifferencesGiveTheSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := controlstate.New(controlstate.Options{})
 		var other *controlstate.State
 		old := s.Frame()
-		copied := controlstate.FrameOf(old.Whole())
+		received := controlstate.FrameOf(old.Whole())
 		for range rapid.IntRange(1, 40).Draw(t, "commands") {
-			cmd := command(t)
+			cmd := drawCommand(t)
 			result := apply(s, cmd)
 			if other != nil {
 				assert.Assert(t, proto.Equal(result, apply(other, cmd)))
@@ -232,9 +237,9 @@
 			}
 			if rapid.Bool().Draw(t, "watch") {
 				next := s.Frame()
-				copied = copied.With(next.Since(old))
+				received = received.With(next.Since(old))
 				old = next
-				assert.DeepEqual(t, copied.View(), next.View())
+				assert.DeepEqual(t, received.View(), next.View())
 			}
 		}
 		if other != nil {
--- a/controlstate/upstreams.go
+++ b/controlstate/upstreams.go
@@ -6,9 +6,9 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// Registration returns the registration that an announcement asks for, with
-// the ownership of the current one, which may be nil.
-func Registration(current *pb.Upstream, a *pb.AnnounceRequest) *pb.Upstream {
+// Registration returns the registration of the upstream that sent announcement
+// a. It keeps the owner of the earlier registration, which may be nil.
+func Registration(registered *pb.Upstream, a *pb.AnnounceRequest) *pb.Upstream {
 	return &pb.Upstream{
 		Name:           a.GetName(),
 		Database:       a.GetDatabase(),
@@ -17,102 +17,105 @@
 		Slots:          a.GetSlots(),
 		MaxConnections: a.GetMaxConnections(),
 		Leaving:        a.GetLeaving(),
-		Owner:          current.GetOwner(),
-		OwnerEpoch:     current.GetOwnerEpoch(),
-		OwnerAddress:   current.GetOwnerAddress(),
+		Owner:          registered.GetOwner(),
+		OwnerEpoch:     registered.GetOwnerEpoch(),
+		OwnerAddress:   registered.GetOwnerAddress(),
 	}
 }
 
-// register refuses a name that already belongs to another database.
+// register stores the registration of an upstream. It refuses a name that is
+// already registered for another database.
 func (s *State) register(a *pb.AnnounceRequest) bool {
 	if a.GetName() == "" || a.GetDatabase() == "" {
 		return false
 	}
-	current, known := s.upstreams[a.GetName()]
-	if known && current.GetDatabase() != a.GetDatabase() {
+	registered, found := s.upstreams[a.GetName()]
+	if found && registered.GetDatabase() != a.GetDatabase() {
 		return false
 	}
-	next := Registration(current, a)
-	if known && proto.Equal(current, next) {
+	next := Registration(registered, a)
+	if found && proto.Equal(registered, next) {
 		return true
 	}
 	s.upstreams[a.GetName()] = next
-	s.joinNewGroup(next)
-	if current.GetLeaving() != next.GetLeaving() || (known && current.GetAddress() != next.GetAddress()) {
-		s.bumpConfig()
+	s.addToNewGroup(next)
+	if registered.GetLeaving() != next.GetLeaving() || (found && registered.GetAddress() != next.GetAddress()) {
+		s.incrementConfigVersion()
 		return true
 	}
-	s.bump()
+	s.incrementVersion()
 	return true
 }
 
 func (s *State) assign(a *pb.AssignOwner) bool {
-	current, known := s.upstreams[a.GetUpstream()]
-	if !known || current.GetOwnerEpoch() != a.GetExpectedEpoch() {
+	registered, found := s.upstreams[a.GetUpstream()]
+	if !found || registered.GetOwnerEpoch() != a.GetExpectedEpoch() {
 		return false
 	}
-	host, known := s.hosts[a.GetHost()]
-	if !known && a.GetHost() != "" {
+	host, found := s.hosts[a.GetHost()]
+	if !found && a.GetHost() != "" {
 		return false
 	}
-	s.setOwner(current, a.GetHost(), host.GetAddress())
+	s.setOwner(registered, a.GetHost(), host.GetAddress())
 	return true
 }
 
-// setOwner gives an upstream a new owner under the next epoch.
-func (s *State) setOwner(current *pb.Upstream, owner, address string) {
-	next := proto.CloneOf(current)
+// setOwner sets the owner of an upstream and increments its owner epoch.
+func (s *State) setOwner(registered *pb.Upstream, owner, address string) {
+	next := proto.CloneOf(registered)
 	next.Owner = owner
 	next.OwnerAddress = address
 	next.OwnerEpoch++
 	s.upstreams[next.GetName()] = next
-	s.bumpConfig()
+	s.incrementConfigVersion()
 }
 
-// removeUpstream refuses members, because they count for a majority.
+// removeUpstream deletes a registration. It refuses if the upstream is a member
+// of its group, because members count for the majority.
 func (s *State) removeUpstream(name string) bool {
-	current, known := s.upstreams[name]
-	if !known || isMember(s.groups[current.GetDatabase()], name) {
+	registered, found := s.upstreams[name]
+	if !found || isMember(s.groups[registered.GetDatabase()], name) {
 		return false
 	}
 	delete(s.upstreams, name)
-	s.bumpConfig()
+	s.incrementConfigVersion()
 	return true
 }
 
-// registerHost takes the upstreams from a host that has restarted: the lease
-// belonged to the process that is gone.
+// registerHost stores a proxy host. If the host has restarted, which its
+// incarnation shows, it loses its upstreams, because the earlier process held
+// their leases.
 func (s *State) registerHost(h *pb.Host) bool {
 	if h.GetName() == "" {
 		return false
 	}
-	current, known := s.hosts[h.GetName()]
-	if known && proto.Equal(current, h) {
+	registered, found := s.hosts[h.GetName()]
+	if found && proto.Equal(registered, h) {
 		return true
 	}
 	s.hosts[h.GetName()] = proto.CloneOf(h)
-	s.bump()
-	if known && current.GetIncarnation() != h.GetIncarnation() {
-		s.clearOwner(h.GetName())
+	s.incrementVersion()
+	if found && registered.GetIncarnation() != h.GetIncarnation() {
+		s.clearOwnerOfUpstreams(h.GetName())
 		return true
 	}
-	if known && current.GetAddress() != h.GetAddress() {
-		s.moveOwner(h)
+	if found && registered.GetAddress() != h.GetAddress() {
+		s.updateOwnerAddress(h)
 	}
 	return true
 }
 
 func (s *State) removeHost(name string) bool {
-	if _, known := s.hosts[name]; !known {
+	if _, found := s.hosts[name]; !found {
 		return false
 	}
 	delete(s.hosts, name)
-	s.bump()
-	s.clearOwner(name)
+	s.incrementVersion()
+	s.clearOwnerOfUpstreams(name)
 	return true
 }
 
-func (s *State) clearOwner(host string) {
+func (s *State) clearOwnerOfUpstreams(host string) {
 	for _, u := range sortedValues(s.upstreams) {
 		if u.GetOwner() == host {
 			s.setOwner(u, "", "")
@@ -120,7 +123,7 @@
 	}
 }
 
-func (s *State) moveOwner(h *pb.Host) {
+func (s *State) updateOwnerAddress(h *pb.Host) {
 	for name, u := range s.upstreams {
 		if u.GetOwner() != h.GetName() {
 			continue
@@ -129,5 +132,5 @@
 		next.OwnerAddress = h.GetAddress()
 		s.upstreams[name] = next
 	}
-	s.bumpConfig()
+	s.incrementConfigVersion()
 }
--- a/controlstate/watch.go
+++ b/controlstate/watch.go
@@ -6,7 +6,7 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// Whole returns the frame as the first message of a Watch stream.
+// Whole returns the whole frame as the first message of a Watch stream.
 func (f *Frame) Whole() *pb.WatchResponse {
 	return &pb.WatchResponse{
 		Version:       f.Version,
@@ -19,23 +19,24 @@
 	}
 }
 
-// Since returns what changed from an earlier frame of the same state to f.
-// Without a change it carries the versions alone.
+// Since returns the changes from an earlier frame of the same state to f, as a
+// message of a Watch stream. Without a change, it has the versions only.
 func (f *Frame) Since(old *Frame) *pb.WatchResponse {
 	m := &pb.WatchResponse{Version: f.Version, ConfigVersion: f.ConfigVersion}
 	if f.Version == old.Version {
 		return m
 	}
-	m.Classes, m.RemovedClasses = difference(old.Classes, f.Classes)
-	m.Upstreams, m.RemovedUpstreams = difference(old.Upstreams, f.Upstreams)
-	m.Groups, _ = difference(old.Groups, f.Groups)
-	m.Hosts, m.RemovedHosts = difference(old.Hosts, f.Hosts)
+	m.Classes, m.RemovedClasses = diffMessages(old.Classes, f.Classes)
+	m.Upstreams, m.RemovedUpstreams = diffMessages(old.Upstreams, f.Upstreams)
+	m.Groups, _ = diffMessages(old.Groups, f.Groups)
+	m.Hosts, m.RemovedHosts = diffMessages(old.Hosts, f.Hosts)
 	return m
 }
 
-// difference compares by identity, which is exact because messages are shared
-// between frames until they change.
-func difference[M comparable](old, new map[string]M) (changed []M, removed []string) {
+// diffMessages returns the messages that differ between two maps, and the keys
+// that only old has. It compares pointers, since frames share a message until it
+// changes.
+func diffMessages[M comparable](old, new map[string]M) (changed []M, removed []string) {
 	var names []string
 	for name, m := range new {
 		if before, ok := old[name]; !ok || before != m {
@@ -55,16 +56,16 @@
 	return changed, removed
 }
 
-// FrameOf builds a frame from a whole message.
+// FrameOf returns the frame that Whole encoded.
 func FrameOf(m *pb.WatchResponse) *Frame {
 	s := New(Options{})
 	s.version = m.GetVersion()
 	s.configVersion = m.GetConfigVersion()
-	s.merge(m)
+	s.mergeChanges(m)
 	return s.newFrame()
 }
 
-// With returns the frame after a message that adds to it.
+// With returns a copy of f with the changes of a message that Since returned.
 func (f *Frame) With(m *pb.WatchResponse) *Frame {
 	s := New(Options{})
 	s.version = m.GetVersion()
@@ -72,11 +73,11 @@
 	s.classes, s.upstreams, s.groups, s.hosts = f.Classes, f.Upstreams, f.Groups, f.Hosts
 	next := s.newFrame()
 	s.classes, s.upstreams, s.groups, s.hosts = next.Classes, next.Upstreams, next.Groups, next.Hosts
-	s.merge(m)
+	s.mergeChanges(m)
 	return next
 }
 
-func (s *State) merge(m *pb.WatchResponse) {
+func (s *State) mergeChanges(m *pb.WatchResponse) {
 	for _, c := range m.GetClasses() {
 		s.classes[c.GetName()] = c
 	}
--- a/wal/folder.go
+++ b/wal/folder.go
@@ -56,7 +56,7 @@
 	if err := os.MkdirAll(f.dir, folderMode); err != nil {
 		return nil, newFileError("create", f.dir, err)
 	}
-	if err := f.acquire(); err != nil {
+	if err := f.acquireLock(); err != nil {
 		return nil, err
 	}
 	if err := f.removeTemporaryFiles(); err != nil {
@@ -65,7 +65,7 @@
 	return f, nil
 }
 
-func (f *Folder) acquire() error {
+func (f *Folder) acquireLock() error {
 	path := f.path(lockName)
 	lock, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
