--- a/settings/key.go
+++ b/settings/key.go
@@ -19,7 +19,7 @@
 	allowedName     = "1 to 63 of a-z, 0-9, _, ., -"
 	allowedAddress  = "IP number and port, for example 127.0.0.1:6432"
 	allowedFile     = "the path of a readable file"
-	allowedFolder   = "a path"
+	allowedPath     = "a path"
 	allowedLevel    = "debug, info, warn, error"
 	allowedFormat   = "text, json"
 	allowedAuth     = "trust, scram"
@@ -31,7 +31,8 @@
 	allowedBool     = "true, false"
 )
 
-// minKeyBytes is the size of the HMAC-SHA-256 block that a key should fill.
+// minKeyBytes is the output size of HMAC-SHA-256. Shorter keys would weaken the
+// signature.
 const minKeyBytes = 32
 
 func parseName(p *parser, value string) (string, bool) {
@@ -65,8 +66,8 @@
 		}
 		members = append(members, Member{Name: name, Address: address})
 	}
-	odd := len(members) == 1 || len(members) == 3 || len(members) == 5
-	return members, odd
+	validCount := len(members) == 1 || len(members) == 3 || len(members) == 5
+	return members, validCount
 }
 
 func parseFolder(p *parser, value string) (string, bool) {
@@ -98,21 +99,22 @@
 	return auth, auth == AuthTrust || auth == AuthSCRAM
 }
 
-const maxUser = 63
+const maxUserBytes = 63
 
 func parseUser(_ *parser, value string) (string, bool) {
-	return value, value != "" && len(value) <= maxUser
+	return value, value != "" && len(value) <= maxUserBytes
 }
 
 func parseBool(_ *parser, value string) (bool, bool) {
 	return value == "true", value == "true" || value == "false"
 }
 
-// durationBetween accepts durations from low to high.
-func durationBetween(low, high time.Duration) func(*parser, string) (time.Duration, bool) {
+// durationBetween returns a parse function for durations from minimum to maximum,
+// both included.
+func durationBetween(minimum, maximum time.Duration) func(*parser, string) (time.Duration, bool) {
 	return func(_ *parser, value string) (time.Duration, bool) {
 		d, err := time.ParseDuration(value)
-		return d, err == nil && d >= low && d <= high
+		return d, err == nil && d >= minimum && d <= maximum
 	}
 }
 
@@ -131,8 +133,8 @@
 			return nil, false
 		}
 		secret, err := base64.StdEncoding.DecodeString(fields[1])
-		id, badID := strconv.ParseUint(fields[0], 10, 32)
-		if err != nil || badID != nil || len(secret) < minKeyBytes {
+		id, idErr := strconv.ParseUint(fields[0], 10, 32)
+		if err != nil || idErr != nil || len(secret) < minKeyBytes {
 			return nil, false
 		}
 		keys = append(keys, TokenKey{ID: uint32(id), Secret: secret})
@@ -145,8 +147,8 @@
 	return passwords, err == nil
 }
 
-// BadPasswords reports a file of passwords that cannot be used. It shows
-// nothing of the file's contents.
+// BadPasswords reports a password file that cannot be used. Its text shows no
+// contents of the file, since they may be secret.
 type BadPasswords struct {
 	File string
 	Line int // 0 if the file as a whole cannot be used
@@ -159,8 +161,9 @@
 	return e.File + ": line " + strconv.Itoa(e.Line) + " is not valid; allowed: " + allowedPassword
 }
 
-// ReadPasswords returns the passwords of a file by user. A password may contain
-// colons, but no spaces at its end. A user may occur once.
+// ReadPasswords reads a file of lines user:password and returns the passwords by
+// user. A password may contain colons, but spaces at its end are removed. A user
+// may occur only once.
 // Errors: *BadPasswords.
 func ReadPasswords(file string) (map[string]string, error) {
 	content, err := os.ReadFile(file)
@@ -168,9 +171,9 @@
 		return nil, &BadPasswords{File: file}
 	}
 	passwords := make(map[string]string)
-	number := 0
+	lineNumber := 0
 	for line := range strings.Lines(string(content)) {
-		number++
+		lineNumber++
 		line = strings.TrimSpace(line)
 		if line == "" {
 			continue
@@ -178,7 +181,7 @@
 		user, password, found := strings.Cut(line, ":")
 		_, repeated := passwords[user]
 		if !found || repeated || user == "" || password == "" {
-			return nil, &BadPasswords{File: file, Line: number}
+			return nil, &BadPasswords{File: file, Line: lineNumber}
 		}
 		passwords[user] = password
 	}
--- a/settings/parser.go
+++ b/settings/parser.go
@@ -13,24 +13,26 @@
 	"lovageslip/logging"
 )
 
+// parser reads the keys of one settings file and collects the problems found.
 type parser struct {
-	name     string
-	file     *ini.File
-	known    map[string]bool
-	problems Problems
+	fileName  string
+	file      *ini.File
+	knownKeys map[string]bool
+	problems  Problems
 }
 
-func open(file string) (*parser, error) {
+func newParser(file string) (*parser, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{AllowShadows: true}, file)
 	if err != nil {
-		return nil, Problems{{File: file, Section: "-", Key: "-", Detail: loadDetail(err)}}
+		return nil, Problems{{File: file, Section: "-", Key: "-", Detail: loadErrorDetail(err)}}
 	}
-	return &parser{name: file, file: f, known: make(map[string]bool)}, nil
+	return &parser{fileName: file, file: f, knownKeys: make(map[string]bool)}, nil
 }
 
-// loadDetail says why a file is no settings file. It leaves out the contents of
-// lines, because the file may be one of passwords, given by mistake.
-func loadDetail(err error) string {
+// loadErrorDetail says why a file cannot be loaded as settings. It leaves out the
+// contents of the lines, because someone may have passed a password file by
+// mistake.
+func loadErrorDetail(err error) string {
 	var unreadable *fs.PathError
 	switch {
 	case ini.IsErrDelimiterNotFound(err):
@@ -41,36 +43,36 @@
 	return "is not an INI file"
 }
 
-// path resolves a path relative to the settings file.
+// path resolves a path relative to the folder of the settings file.
 func (p *parser) path(value string) string {
 	if filepath.IsAbs(value) {
 		return value
 	}
-	return filepath.Join(filepath.Dir(p.name), value)
+	return filepath.Join(filepath.Dir(p.fileName), value)
 }
 
-func (p *parser) problem(section, key, value, detail, allowed string) {
+func (p *parser) addProblem(section, key, value, detail, allowed string) {
 	p.problems = append(p.problems, &Problem{
-		File: p.name, Section: section, Key: key, Value: value, Detail: detail, Allowed: allowed,
+		File: p.fileName, Section: section, Key: key, Value: value, Detail: detail, Allowed: allowed,
 	})
 }
 
-func (p *parser) role(want Kind) {
-	p.known["host.role"] = true
+func (p *parser) checkRole(kind Kind) {
+	p.knownKeys["host.role"] = true
 	role := p.file.Section("host").Key("role").String()
-	if role != string(want) {
-		p.problem("host", "role", role, "is not the role of this file", string(want))
+	if role != string(kind) {
+		p.addProblem("host", "role", role, "is not the role of this file", string(kind))
 	}
 }
 
-// upstreams reads the login to upstreams. The password file may hold other
-// users too.
+// upstreams reads the user and password with which hosts log in to upstreams. The
+// password file may have passwords of other users too.
 func (p *parser) upstreams() Upstreams {
 	user := optional(p, "upstreams", "user", allowedUser, DefaultUpstreamUser, parseUser)
 	passwords := optional(p, "upstreams", "password_file", allowedPassword, nil, parsePasswords)
 	password, found := passwords[user]
 	if passwords != nil && !found {
-		p.problem("upstreams", "password_file", "", "has no password of user "+user, allowedPassword)
+		p.addProblem("upstreams", "password_file", "", "has no password of user "+user, allowedPassword)
 	}
 	return Upstreams{User: user, Password: password}
 }
@@ -82,20 +84,20 @@
 	}
 }
 
-// tls reads a TLS section. Either all of its keys are set or none.
+// tls reads the keys of a TLS section. Either all of them must be set or none.
 func (p *parser) tls(section string, keys ...string) TLS {
 	values := make(map[string]string, len(keys))
 	for _, key := range keys {
 		values[key] = optional(p, section, key, allowedFile, "", parseFile)
 	}
-	set := 0
+	keysSet := 0
 	for _, key := range keys {
 		if p.file.Section(section).HasKey(key) {
-			set++
+			keysSet++
 		}
 	}
-	if set != 0 && set != len(keys) {
-		p.problem(section, strings.Join(keys, ", "), "", "must be set together", allowedFile)
+	if keysSet != 0 && keysSet != len(keys) {
+		p.addProblem(section, strings.Join(keys, ", "), "", "must be set together", allowedFile)
 	}
 	return TLS{Certificate: values["certificate"], Key: values["key"], Authority: values["authority"]}
 }
@@ -105,7 +107,7 @@
 	files := p.tls("tls_hosts", "certificate", "key", "authority")
 	files.Announcers = optional(p, "tls_hosts", "announcers", allowedFile, "", parseFile)
 	if files.Announcers != "" && !files.On() {
-		p.problem("tls_hosts", "announcers", "", "needs certificate, key and authority", "")
+		p.addProblem("tls_hosts", "announcers", "", "needs certificate, key and authority", "")
 	}
 	return files
 }
@@ -123,38 +125,42 @@
 }
 
 func (p *parser) checkKnown(section string, key *ini.Key) {
-	if !p.known[section+"."+key.Name()] {
-		p.problem(section, key.Name(), p.showable(section, key), "is not a known setting", "")
+	if !p.knownKeys[section+"."+key.Name()] {
+		p.addProblem(section, key.Name(), p.reportableValue(section, key), "is not a known setting", "")
 	}
 	if len(key.ValueWithShadows()) > 1 {
-		p.problem(section, key.Name(), "", "is set more than once", "")
+		p.addProblem(section, key.Name(), "", "is set more than once", "")
 	}
 }
 
-// showable returns the value of an unknown setting, or nothing where it may be
-// a secret: in sections about secrets, and in sections that no settings file
-// has, because the file may be one of passwords, given by mistake.
-func (p *parser) showable(section string, key *ini.Key) string {
-	if slices.Contains(secretSections, section) {
+// reportableValue returns the value of an unknown setting, or "" if the value may
+// be a secret. This is the case in the sections of secret settings, and in unknown
+// sections, because someone may have passed a password file by mistake.
+func (p *parser) reportableValue(section string, key *ini.Key) string {
+	if slices.Contains(sectionsWithSecrets, section) {
 		return ""
 	}
-	for known := range p.known {
-		if strings.HasPrefix(known, section+".") {
+	for knownKey := range p.knownKeys {
+		if strings.HasPrefix(knownKey, section+".") {
 			return key.String()
 		}
 	}
 	return ""
 }
 
-// secretSections may hold a secret under a mistaken key.
-var secretSections = []string{"callers", "upstreams", "session", "tls_callers", "tls_hosts", "tls_upstreams"}
+// sectionsWithSecrets are the sections in which the value of a misspelt key may be
+// a secret.
+var sectionsWithSecrets = []string{"callers", "upstreams", "session", "tls_callers", "tls_hosts", "tls_upstreams"}
 
-type parse[T any] func(*parser, string) (T, bool)
+// parseFunc converts the value of a key and reports whether the value is valid.
+type parseFunc[T any] func(*parser, string) (T, bool)
 
-func required[T any](p *parser, section, key, allowed string, parse parse[T]) T {
+// required returns the value of a key. It adds a problem if the key is missing or
+// its value is not valid.
+func required[T any](p *parser, section, key, allowed string, parse parseFunc[T]) T {
 	if !p.file.Section(section).HasKey(key) {
-		p.known[section+"."+key] = true
-		p.problem(section, key, "", "is required", allowed)
+		p.knownKeys[section+"."+key] = true
+		p.addProblem(section, key, "", "is required", allowed)
 		var zero T
 		return zero
 	}
@@ -162,15 +168,17 @@
 	return optional(p, section, key, allowed, zero, parse)
 }
 
-func optional[T any](p *parser, section, key, allowed string, fallback T, parse parse[T]) T {
-	p.known[section+"."+key] = true
+// optional returns the value of a key, or fallback if the key is missing. It adds
+// a problem if the value is not valid.
+func optional[T any](p *parser, section, key, allowed string, fallback T, parse parseFunc[T]) T {
+	p.knownKeys[section+"."+key] = true
 	if !p.file.Section(section).HasKey(key) {
 		return fallback
 	}
 	text := p.file.Section(section).Key(key).String()
 	value, ok := parse(p, text)
 	if !ok {
-		p.problem(section, key, text, "is not valid:", allowed)
+		p.addProblem(section, key, text, "is not valid:", allowed)
 		return fallback
 	}
 	return value
--- a/settings/security_test.go
+++ b/settings/security_test.go
@@ -11,20 +11,21 @@
 
 const secret = "hunter2-and-more"
 
-// writeWith writes proxy settings with more lines, next to a password file.
-func writeWith(t *testing.T, more, passwords string) string {
+// writeSettingsAndPasswords writes proxy settings with extra lines and a password
+// file, and returns the path of the settings file.
+func writeSettingsAndPasswords(t *testing.T, extraLines, passwords string) string {
 	t.Helper()
-	file := write(t, validProxy+more)
+	file := writeSettings(t, validProxy+extraLines)
 	assert.NilError(t, os.WriteFile(filepath.Join(filepath.Dir(file), "passwords"), []byte(passwords), 0o600))
 	return file
 }
 
 func TestLoginSettings(t *testing.T) {
-	more := "[callers]\nauth = scram\npassword_file = passwords\nrequire_tls = true\n" +
+	extraLines := "[callers]\nauth = scram\npassword_file = passwords\nrequire_tls = true\n" +
 		"[tls_callers]\ncertificate = keys\nkey = keys\n" +
 		"[upstreams]\nuser = proxy\npassword_file = passwords\n[tls_upstreams]\nauthority = keys\n" +
 		"[tls_hosts]\ncertificate = keys\nkey = keys\nauthority = keys\nannouncers = keys\n"
-	s, err := LoadProxy(writeWith(t, more, "app:with:colon\n\nproxy:"+secret+"\n"))
+	s, err := LoadProxy(writeSettingsAndPasswords(t, extraLines, "app:with:colon\n\nproxy:"+secret+"\n"))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Auth, AuthSCRAM)
 	assert.Equal(t, s.Passwords["app"], "with:colon")
@@ -37,22 +38,22 @@
 func TestUpstreamLoginOfControlHost(t *testing.T) {
 	control := "[host]\nrole = control\nname = c\ndata_centre = luzon\n[listen]\nhosts = 127.0.0.1:1\n" +
 		"[control]\nmembers = c=127.0.0.1:1\ndata = data\n"
-	s, err := LoadControl(write(t, control))
+	s, err := LoadControl(writeSettings(t, control))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Upstreams, Upstreams{User: DefaultUpstreamUser})
-	file := write(t, control+"[upstreams]\npassword_file = passwords\n")
+	file := writeSettings(t, control+"[upstreams]\npassword_file = passwords\n")
 	assert.NilError(t, os.WriteFile(filepath.Join(filepath.Dir(file), "passwords"), []byte("lovageslip:"+secret), 0o600))
 	s, err = LoadControl(file)
 	assert.NilError(t, err)
 	assert.Equal(t, s.Upstreams, Upstreams{User: DefaultUpstreamUser, Password: secret})
 }
 
-// Guards against secrets in the report of a mistake, and against a mistake that
-// leaves a login or TLS off without notice.
+// Guards against error texts that show a secret, and against mistakes that disable
+// authentication or TLS without an error.
 func TestMistakesAboutSecretsDoNotShowThem(t *testing.T) {
 	callers, upstreams := "[callers]\nauth = scram\npassword_file = passwords\n", "[upstreams]\npassword_file = passwords\n"
 	cases := []struct {
-		name, more, passwords, want string
+		name, extraLines, passwords, want string
 	}{
 		{"line without a colon", callers, "app:x\n" + secret + "\n", `[callers] password_file: is not valid: "passwords"`},
 		{"user without password", callers, secret + ":\n", `[callers] password_file: is not valid: "passwords"`},
@@ -68,7 +69,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			file := writeWith(t, c.more, c.passwords)
+			file := writeSettingsAndPasswords(t, c.extraLines, c.passwords)
 			_, err := LoadProxy(file)
 			assert.ErrorContains(t, err, c.want)
 			assert.ErrorContains(t, err, file)
@@ -77,8 +78,8 @@
 	}
 }
 
-// Guards against a password file whose contents are shown because it was given
-// in place of the settings.
+// Guards against an error text that shows passwords because a password file was
+// passed as the settings file.
 func TestPasswordFileGivenAsSettings(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "passwords")
 	assert.NilError(t, os.WriteFile(file, []byte("app:"+secret+"\n"), 0o600))
@@ -87,7 +88,7 @@
 	assert.Assert(t, !strings.Contains(err.Error(), secret), "%v", err)
 }
 
-// Guards against a report that does not say which line is wrong.
+// Guards against an error text that does not give the number of the wrong line.
 func TestBadPasswordLineIsNamed(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "passwords")
 	assert.NilError(t, os.WriteFile(file, []byte("app:x\n\n"+secret+"\n"), 0o600))
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the INI settings of the daemons. A file is checked
-// whole: every problem is reported with its file, section, key and the allowed
-// range, and unknown sections and keys are refused.
+// Package settings reads the INI settings files of the proxy and control daemons.
+// It reports all mistakes in a file at once, each with its file, section, key and
+// the allowed values. Unknown sections and keys are mistakes too.
 package settings
 
 import (
@@ -18,42 +18,44 @@
 	Address string // IP number and port
 }
 
-// TokenKey signs or verifies session tokens.
+// TokenKey is a key that signs and verifies session tokens.
 type TokenKey struct {
 	ID     uint32
 	Secret []byte
 }
 
-// Auth selects how callers prove who they are.
+// Auth selects how callers authenticate.
 type Auth string
 
-// Ways to authenticate callers.
+// Authentication methods of callers. AuthTrust accepts every user without a
+// password.
 const (
 	AuthTrust Auth = "trust"
 	AuthSCRAM Auth = "scram"
 )
 
-// Log selects what is logged and how.
+// Log holds the log level and the format of log lines.
 type Log struct {
 	Level  slog.Level
 	Format logging.Format
 }
 
-// TLS names PEM files. All fields are empty if TLS is off.
+// TLS holds the paths of PEM files. All fields are empty if TLS is off.
 type TLS struct {
 	Certificate string
 	Key         string
 	Authority   string
-	// Announcers is the authority of upstreams that may announce themselves
-	// and nothing else; empty if upstreams have certificates of hosts.
+	// Announcers is the certificate authority of upstreams that may announce
+	// themselves and call nothing else. It is empty if the upstreams have
+	// certificates of the hosts' authority.
 	Announcers string
 }
 
 // On reports whether TLS is configured.
 func (t TLS) On() bool { return t.Certificate != "" || t.Authority != "" }
 
-// Upstreams holds how hosts log in to upstreams. The zero value is the default
-// user without a password.
+// Upstreams holds the user and password with which hosts log in to upstreams. The
+// zero value means the default user without a password.
 type Upstreams struct {
 	User     string
 	Password string
@@ -126,7 +128,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Kind tells which daemon a settings file is for.
+// Kind is the kind of daemon that a settings file configures.
 type Kind string
 
 // Kinds of settings files.
@@ -135,10 +137,10 @@
 	KindControl Kind = "control"
 )
 
-// Check reads a settings file of either kind. The kind follows from the key
-// host.role.
+// Check reads a settings file of either kind and returns its kind, which the key
+// host.role states. The error is of type Problems.
 func Check(file string) (Kind, error) {
-	p, err := open(file)
+	p, err := newParser(file)
 	if err != nil {
 		return "", err
 	}
@@ -150,22 +152,22 @@
 	return KindProxy, err
 }
 
-// DefaultUpstreamUser is the user that hosts are to upstreams.
+// DefaultUpstreamUser is the user with which hosts log in to upstreams by default.
 const DefaultUpstreamUser = "lovageslip"
 
 const (
-	minShutdown = time.Second
-	maxShutdown = time.Hour
+	minShutdownDeadline = time.Second
+	maxShutdownDeadline = time.Hour
 )
 
 // LoadProxy reads the settings of a proxy host. The error is of type Problems.
 func LoadProxy(file string) (*Proxy, error) {
-	p, err := open(file)
+	p, err := newParser(file)
 	if err != nil {
 		return nil, err
 	}
 	s := &Proxy{}
-	p.role(KindProxy)
+	p.checkRole(KindProxy)
 	s.Name = required(p, "host", "name", allowedName, parseName)
 	s.DataCentre = required(p, "host", "data_centre", allowedName, parseName)
 	s.Callers = required(p, "listen", "callers", allowedAddress, parseAddress)
@@ -178,17 +180,17 @@
 	s.Passwords = optional(p, "callers", "password_file", allowedPassword, nil, parsePasswords)
 	s.RequireTLS = optional(p, "callers", "require_tls", allowedBool, false, parseBool)
 	s.Upstreams = p.upstreams()
-	s.ShutdownDeadline = optional(p, "shutdown", "deadline", minShutdown.String()+" to "+maxShutdown.String(),
-		30*time.Second, durationBetween(minShutdown, maxShutdown))
+	s.ShutdownDeadline = optional(p, "shutdown", "deadline", minShutdownDeadline.String()+" to "+maxShutdownDeadline.String(),
+		30*time.Second, durationBetween(minShutdownDeadline, maxShutdownDeadline))
 	s.Log = p.log()
 	s.TLSCallers = p.tls("tls_callers", "certificate", "key")
 	s.TLSHosts = p.tlsHosts()
 	s.TLSUpstreams = p.tls("tls_upstreams", "authority")
 	if s.Auth == AuthSCRAM && len(s.Passwords) == 0 {
-		p.problem("callers", "password_file", "", "is required with auth = scram", allowedPassword)
+		p.addProblem("callers", "password_file", "", "is required with auth = scram", allowedPassword)
 	}
 	if s.RequireTLS && !s.TLSCallers.On() {
-		p.problem("callers", "require_tls", "", "needs [tls_callers] certificate and key", "")
+		p.addProblem("callers", "require_tls", "", "needs [tls_callers] certificate and key", "")
 	}
 	return s, p.finish()
 }
@@ -196,18 +198,18 @@
 // LoadControl reads the settings of a control host. The error is of type
 // Problems.
 func LoadControl(file string) (*Control, error) {
-	p, err := open(file)
+	p, err := newParser(file)
 	if err != nil {
 		return nil, err
 	}
 	s := &Control{}
-	p.role(KindControl)
+	p.checkRole(KindControl)
 	s.Name = required(p, "host", "name", allowedName, parseName)
 	s.DataCentre = required(p, "host", "data_centre", allowedName, parseName)
 	s.Hosts = required(p, "listen", "hosts", allowedAddress, parseAddress)
 	s.Metrics = optional(p, "listen", "metrics", allowedAddress, "", parseAddress)
 	s.Members = required(p, "control", "members", allowedMembers, parseMembers)
-	s.Data = required(p, "control", "data", allowedFolder, parseFolder)
+	s.Data = required(p, "control", "data", allowedPath, parseFolder)
 	s.Upstreams = p.upstreams()
 	s.Log = p.log()
 	s.TLSHosts = p.tlsHosts()
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -27,7 +27,7 @@
 deadline = 45s
 `
 
-func write(t *testing.T, content string) string {
+func writeSettings(t *testing.T, content string) string {
 	t.Helper()
 	dir := t.TempDir()
 	key := base64.StdEncoding.EncodeToString([]byte(strings.Repeat("k", minKeyBytes)))
@@ -38,7 +38,7 @@
 }
 
 func TestLoadProxy(t *testing.T) {
-	s, err := LoadProxy(write(t, validProxy))
+	s, err := LoadProxy(writeSettings(t, validProxy))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Name, "luzon-1")
 	assert.Equal(t, len(s.Control), 2)
@@ -46,8 +46,9 @@
 	assert.Equal(t, s.TokenKeys[0].ID, uint32(1))
 }
 
-// Guards against a mistake that is accepted, or reported without its place.
-func TestMistakesAreReportedWithTheirPlace(t *testing.T) {
+// Guards against mistakes that are accepted, or reported without their file,
+// section and key.
+func TestMistakesAreReportedWithFileSectionAndKey(t *testing.T) {
 	cases := []struct {
 		name, old, new, want string
 	}{
@@ -65,7 +66,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			file := write(t, strings.Replace(validProxy, c.old, c.new, 1))
+			file := writeSettings(t, strings.Replace(validProxy, c.old, c.new, 1))
 			_, err := LoadProxy(file)
 			assert.ErrorContains(t, err, c.want)
 			assert.ErrorContains(t, err, file)
