--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -11,81 +11,84 @@
 )
 
 const (
-	// boundedQueue is how many lines may wait to be written.
-	boundedQueue = 1024
-	// boundedRate and boundedBurst are the bytes that may be written a
-	// second, and at once after a pause. A host of a small site writes
-	// about 10 KB/s at its peak, so that the bound cuts off only loops.
-	boundedRate  = 64 << 10
-	boundedBurst = 256 << 10
-	// reportInterval is the least time between two lines about dropped
-	// lines, which are beyond the bound.
+	// maxQueuedLines is how many lines may wait for the underlying writer.
+	maxQueuedLines = 1024
+	// maxBytesPerSecond is the sustained rate, and maxBurstBytes is how much
+	// may be written at once after a pause. A host of a small site writes
+	// about 10 KB/s at its peak, so the limits apply only to faults such as
+	// a loop that logs.
+	maxBytesPerSecond = 64 << 10
+	maxBurstBytes     = 256 << 10
+	// reportInterval is the minimum time between two reports about dropped
+	// lines. The reports do not count towards the limits.
 	reportInterval = time.Second
 )
 
-// Bounded is a writer that never blocks: it drops lines that come faster than
-// they can or may be written, and says how many. It is safe for concurrent use.
+// Bounded is a log writer that never blocks. It drops lines that exceed the rate
+// limit, and lines that arrive faster than the underlying writer takes them. It
+// reports in the log how many lines were dropped. It is safe for concurrent use.
 type Bounded struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Int64
-	stopped chan struct{}
-	close   sync.Once
-	budget  *rate.Limiter // in bytes
+	out       io.Writer
+	queue     chan []byte
+	dropped   atomic.Int64
+	stopped   chan struct{}
+	close sync.Once
+	limiter   *rate.Limiter // in bytes
 }
 
-// NewBounded returns a writer in front of out.
+// NewBounded returns a writer that passes lines on to out from a goroutine of its
+// own, which Close ends.
 func NewBounded(out io.Writer) *Bounded {
 	b := &Bounded{
 		out:     out,
-		lines:   make(chan []byte, boundedQueue),
+		queue:   make(chan []byte, maxQueuedLines),
 		stopped: make(chan struct{}),
-		budget:  rate.NewLimiter(boundedRate, boundedBurst),
+		limiter: rate.NewLimiter(maxBytesPerSecond, maxBurstBytes),
 	}
-	go b.run()
+	go b.writeLines()
 	return b
 }
 
-// Write takes one line. It always reports success: a logger cannot do anything
-// about a line that was dropped.
+// Write queues one line. It reports success even if the line is dropped, because
+// a logger can't handle the error.
 func (b *Bounded) Write(line []byte) (int, error) {
-	if !b.budget.AllowN(time.Now(), len(line)) {
+	if !b.limiter.AllowN(time.Now(), len(line)) {
 		b.dropped.Add(1)
 		return len(line), nil
 	}
 	select {
-	case b.lines <- append([]byte(nil), line...):
+	case b.queue <- append([]byte(nil), line...):
 	default:
 		b.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns how many lines were dropped so far.
 func (b *Bounded) Dropped() int64 { return b.dropped.Load() }
 
-// Close writes what waits. Nothing may be written afterwards.
+// Close writes the queued lines. Write must not be called afterwards.
 func (b *Bounded) Close() {
-	b.close.Do(func() { close(b.lines) })
+	b.close.Do(func() { close(b.queue) })
 	<-b.stopped
 }
 
-func (b *Bounded) run() {
+func (b *Bounded) writeLines() {
 	defer close(b.stopped)
-	var reported int64
+	var reportedDrops int64
 	var reportedAt time.Time
 	report := func() {
 		dropped := b.dropped.Load()
-		if dropped == reported {
+		if dropped == reportedDrops {
 			return
 		}
 		_, _ = fmt.Fprintf(b.out, "{\"level\":\"WARN\",\"msg\":\"logging: lines dropped\",\"total\":%d}\n", dropped)
-		reported, reportedAt = dropped, time.Now()
+		reportedDrops, reportedAt = dropped, time.Now()
 	}
-	for line := range b.lines {
-		// Nobody is left to tell of a log that cannot be written.
+	for line := range b.queue {
+		// There is no other place to report that the log cannot be written.
 		_, _ = b.out.Write(line)
-		if len(b.lines) == 0 && time.Since(reportedAt) >= reportInterval {
+		if len(b.queue) == 0 && time.Since(reportedAt) >= reportInterval {
 			report()
 		}
 	}
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -10,21 +10,21 @@
 	"gotest.tools/v3/assert"
 )
 
-type stuckWriter struct{ release chan struct{} }
+type blockedWriter struct{ release chan struct{} }
 
-func (w *stuckWriter) Write(b []byte) (int, error) {
+func (w *blockedWriter) Write(b []byte) (int, error) {
 	<-w.release
 	return len(b), nil
 }
 
-// Guards against a process that waits for a reader of its log.
+// Guards against a process that blocks because nothing reads its log.
 func TestBoundedNeverBlocks(t *testing.T) {
-	w := &stuckWriter{release: make(chan struct{})}
+	w := &blockedWriter{release: make(chan struct{})}
 	b := NewBounded(w)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for range 3 * boundedQueue {
+		for range 3 * maxQueuedLines {
 			_, _ = b.Write([]byte("line\n"))
 		}
 	}()
@@ -33,14 +33,14 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("a write blocked")
 	}
-	assert.Assert(t, b.Dropped() >= boundedQueue)
+	assert.Assert(t, b.Dropped() >= maxQueuedLines)
 	close(w.release)
 	b.Close()
 }
 
-// Guards against a loop that fills the disk of whoever keeps the log, and
-// against drops that nobody learns of.
-func TestBoundedDropsAndSaysSo(t *testing.T) {
+// Guards against a loop that fills the disk on which the log is stored, and
+// against lines that are dropped without a report.
+func TestBoundedReportsDroppedLines(t *testing.T) {
 	var mu sync.Mutex
 	var out bytes.Buffer
 	b := NewBounded(writerFunc(func(p []byte) (int, error) {
@@ -54,7 +54,7 @@
 		time.Sleep(10 * time.Microsecond)
 	}
 	b.Close()
-	assert.Assert(t, out.Len() < 2*boundedBurst, "%d bytes", out.Len())
+	assert.Assert(t, out.Len() < 2*maxBurstBytes, "%d bytes", out.Len())
 	assert.Assert(t, b.Dropped() > 0)
 	reports := strings.Count(out.String(), "lines dropped")
 	assert.Assert(t, reports >= 1 && reports <= 3, "%d reports in a fraction of a second", reports)
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging sets up log/slog. Every part of the system logs with a fixed
-// prefix, so that one part's lines can be found with a plain text search.
+// Package logging sets up log/slog for the daemons. Every part of the system logs
+// with a fixed prefix, so that its lines can be found by a plain text search.
 package logging
 
 import (
@@ -17,7 +17,7 @@
 	FormatJSON Format = "json"
 )
 
-// New returns a logger that writes to w.
+// New returns a logger that writes lines of at least the given level to w.
 func New(w io.Writer, level slog.Level, format Format) *slog.Logger {
 	options := &slog.HandlerOptions{Level: level}
 	if format == FormatJSON {
@@ -26,8 +26,8 @@
 	return slog.New(slog.NewTextHandler(w, options))
 }
 
-// For returns a logger whose messages start with "part: ". A nil log discards
-// everything.
+// For returns a logger whose messages start with the name of a part and a colon,
+// for example "owner: ". If log is nil, it discards all messages.
 func For(log *slog.Logger, part string) *slog.Logger {
 	if log == nil {
 		return slog.New(slog.DiscardHandler)
@@ -35,6 +35,7 @@
 	return slog.New(&prefixHandler{Handler: log.Handler(), prefix: part + ": "})
 }
 
+// prefixHandler adds a prefix to the message of each record.
 type prefixHandler struct {
 	slog.Handler
 	prefix string
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a derived logger that loses the prefix of its part.
+// Guards against losing the prefix when a logger is derived by With.
 func TestPrefixSurvivesWith(t *testing.T) {
 	var out bytes.Buffer
 	log := For(New(&out, slog.LevelInfo, FormatText), "owner").With("upstream", "u1")
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics sets up tally with a Prometheus endpoint and names the
-// counters that several parts share.
+// Package metrics sets up tally with a Prometheus endpoint for the daemons, and
+// defines the counters that several packages use.
 package metrics
 
 import (
@@ -17,8 +17,8 @@
 
 const reportInterval = time.Second
 
-// NewScope returns the root scope of a process and the handler of its
-// Prometheus endpoint. Closing the closer flushes the scope.
+// NewScope returns the root scope of a process, the handler of its Prometheus
+// endpoint, and a closer that flushes the scope.
 func NewScope() (tally.Scope, http.Handler, io.Closer) {
 	registry := prom.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
@@ -31,7 +31,7 @@
 	return scope, promhttp.HandlerFor(registry, promhttp.HandlerOpts{}), closer
 }
 
-// OrNoop returns scope, or a scope that drops everything if it is nil.
+// OrNoop returns scope, or a scope that discards all metrics if scope is nil.
 func OrNoop(scope tally.Scope) tally.Scope {
 	if scope == nil {
 		return tally.NoopScope
@@ -41,14 +41,14 @@
 
 // Refused counts a request that was refused, by class and reason.
 func Refused(scope tally.Scope, class string, reason fault.Reason) {
-	byReason(scope, class, reason).Counter("refused_total").Inc(1)
+	taggedByReason(scope, class, reason).Counter("refused_total").Inc(1)
 }
 
 // Retried counts a retry, by class and reason.
 func Retried(scope tally.Scope, class string, reason fault.Reason) {
-	byReason(scope, class, reason).Counter("retried_total").Inc(1)
+	taggedByReason(scope, class, reason).Counter("retried_total").Inc(1)
 }
 
-func byReason(scope tally.Scope, class string, reason fault.Reason) tally.Scope {
+func taggedByReason(scope tally.Scope, class string, reason fault.Reason) tally.Scope {
 	return scope.Tagged(map[string]string{"class": class, "reason": string(reason)})
 }
--- a/tlsconf/announcers.go
+++ b/tlsconf/announcers.go
@@ -10,21 +10,22 @@
 	"lovageslip/settings"
 )
 
-// LimitAnnouncers lets clients whose certificate is of s.Announcers, and not of
-// s.Authority, call nothing but the procedure announce: the hosts of upstreams
-// run software that is not ours, and a stolen certificate of theirs must not
-// control the site. Without such an authority it returns next.
+// LimitAnnouncers returns a handler that lets clients with a certificate signed by
+// s.Announcers call only the procedure announce. Clients with a certificate signed
+// by s.Authority may call everything. Upstream hosts run software that is not part
+// of this project, so a certificate that is stolen from them must not allow anyone
+// to control the site. If s.Announcers is empty, LimitAnnouncers returns next.
 // Errors: *BadFile.
 func LimitAnnouncers(s settings.TLS, announce string, next http.Handler) (http.Handler, error) {
 	if s.Announcers == "" {
 		return next, nil
 	}
-	hosts, err := certificates(s.Authority)
+	authorities, err := readCertificates(s.Authority)
 	if err != nil {
 		return nil, err
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path != announce && !signedBy(hosts, r) {
+		if r.URL.Path != announce && !signedBy(authorities, r) {
 			http.Error(w, "this certificate may only announce an upstream", http.StatusForbidden)
 			return
 		}
@@ -32,7 +33,7 @@
 	}), nil
 }
 
-// signedBy reports whether the handshake has verified the client's certificate
+// signedBy reports whether the TLS handshake verified the client's certificate
 // against one of the authorities.
 func signedBy(authorities []*x509.Certificate, r *http.Request) bool {
 	if r.TLS == nil {
@@ -47,17 +48,17 @@
 	return false
 }
 
-func certificates(file string) ([]*x509.Certificate, error) {
+func readCertificates(file string) ([]*x509.Certificate, error) {
 	rest, err := os.ReadFile(file)
 	if err != nil {
 		return nil, &BadFile{File: file, Err: err}
 	}
-	var all []*x509.Certificate
+	var certificates []*x509.Certificate
 	for {
 		var block *pem.Block
 		block, rest = pem.Decode(rest)
 		if block == nil {
-			return all, nil
+			return certificates, nil
 		}
 		if block.Type != "CERTIFICATE" {
 			continue
@@ -66,6 +67,6 @@
 		if err != nil {
 			return nil, &BadFile{File: file, Err: err}
 		}
-		all = append(all, certificate)
+		certificates = append(certificates, certificate)
 	}
 }
--- a/tlsconf/tlsconf.go
+++ b/tlsconf/tlsconf.go
@@ -1,6 +1,7 @@
-// Package tlsconf builds TLS configurations and HTTP transports from PEM
-// files. Between hosts both sides present a certificate of the same authority,
-// so that a peer that does not belong is refused before it can send a request.
+// Package tlsconf builds TLS configurations and HTTP clients for the daemons from
+// the PEM files in their settings. On connections between hosts, both sides
+// present a certificate of the same authority, so that other peers are refused
+// in the handshake, before they can send a request.
 package tlsconf
 
 import (
@@ -17,8 +18,8 @@
 )
 
 const (
-	// PingInterval and PingTimeout find a connection between two hosts that
-	// has gone silent.
+	// PingInterval and PingTimeout are the HTTP/2 keepalive settings that
+	// detect a connection between two hosts on which nothing arrives.
 	PingInterval = 2 * time.Second
 	PingTimeout  = 2 * time.Second
 
@@ -36,8 +37,9 @@
 
 func (e *BadFile) Unwrap() error { return e.Err }
 
-// Server returns the configuration of a listener; nil if TLS is off. With an
-// authority, clients must present a certificate that it signed.
+// Server returns the TLS configuration of a listener, or nil if TLS is off. If s
+// has an authority, clients must present a certificate signed by it or by
+// s.Announcers. Errors: *BadFile.
 func Server(s settings.TLS) (*tls.Config, error) {
 	if !s.On() {
 		return nil, nil
@@ -51,17 +53,17 @@
 		return config, nil
 	}
 	config.ClientAuth = tls.RequireAndVerifyClientCert
-	config.ClientCAs, err = authority(s.Authority, s.Announcers)
+	config.ClientCAs, err = newCertPool(s.Authority, s.Announcers)
 	return config, err
 }
 
-// Client returns the configuration for connections to servers whose
-// certificates the authority signed; nil if TLS is off.
+// Client returns the TLS configuration for connections to servers whose
+// certificates s.Authority signed, or nil if TLS is off. Errors: *BadFile.
 func Client(s settings.TLS) (*tls.Config, error) {
 	if !s.On() {
 		return nil, nil
 	}
-	roots, err := authority(s.Authority)
+	roots, err := newCertPool(s.Authority)
 	if err != nil {
 		return nil, err
 	}
@@ -77,9 +79,9 @@
 	return config, nil
 }
 
-// authority returns the certificates of several files; an empty name is left
-// out.
-func authority(files ...string) (*x509.CertPool, error) {
+// newCertPool returns a pool of the certificates in files. It skips empty file
+// names.
+func newCertPool(files ...string) (*x509.CertPool, error) {
 	pool := x509.NewCertPool()
 	for _, file := range files {
 		if file == "" {
@@ -96,8 +98,9 @@
 	return pool, nil
 }
 
-// Protocols returns HTTP/2 only: with TLS if secure, otherwise in plaintext.
-// Servers also take HTTP/1.1, for announcements sent by plain JSON clients.
+// Protocols returns the HTTP versions of a server or client: HTTP/2 over TLS if
+// secure, otherwise plaintext HTTP/2. Servers also accept HTTP/1.1, because plain
+// JSON clients may send announcements.
 func Protocols(secure, server bool) *http.Protocols {
 	protocols := &http.Protocols{}
 	protocols.SetHTTP2(secure)
@@ -115,23 +118,24 @@
 	}
 }
 
-// Meter counts the bytes of connections. It is safe for concurrent use.
+// Meter counts the bytes that connections send and receive. It is safe for
+// concurrent use.
 type Meter struct {
 	Sent, Received Counter
 }
 
-// Counter is the part of a tally counter that a Meter needs.
+// Counter is the subset of tally.Counter that a Meter uses.
 type Counter interface {
 	Inc(delta int64)
 }
 
-// HTTPClient returns a client for connections to other hosts. A nil config
-// means plaintext; otherwise every request goes over TLS, whatever the scheme
-// of its URL, so that no part can send plaintext by mistake.
+// HTTPClient returns a client for requests to other hosts. If config is nil, it
+// sends plaintext. Otherwise it sends every request over TLS, whatever the scheme
+// of its URL, so that no caller can send plaintext by mistake.
 func HTTPClient(config *tls.Config) *http.Client { return MeteredHTTPClient(config, nil) }
 
-// MeteredHTTPClient is HTTPClient with a meter that counts the bytes of its
-// connections; nil counts nothing.
+// MeteredHTTPClient is like HTTPClient and also counts the bytes of its
+// connections in meter, unless meter is nil.
 func MeteredHTTPClient(config *tls.Config, meter *Meter) *http.Client {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	transport := &http.Transport{
@@ -149,7 +153,7 @@
 	if config == nil {
 		return &http.Client{Transport: transport}
 	}
-	return &http.Client{Transport: &secureTransport{next: transport}}
+	return &http.Client{Transport: &httpsTransport{next: transport}}
 }
 
 type meteredConn struct {
@@ -169,15 +173,16 @@
 	return n, err
 }
 
-type secureTransport struct {
+// httpsTransport sends every request over TLS, also if the scheme of its URL is
+// http.
+type httpsTransport struct {
 	next *http.Transport
 }
 
-// CloseIdleConnections lets http.Client.CloseIdleConnections reach the
-// transport.
-func (t *secureTransport) CloseIdleConnections() { t.next.CloseIdleConnections() }
+// CloseIdleConnections is called by http.Client.CloseIdleConnections.
+func (t *httpsTransport) CloseIdleConnections() { t.next.CloseIdleConnections() }
 
-func (t *secureTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t *httpsTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.URL.Scheme == "https" {
 		return t.next.RoundTrip(r)
 	}
