--- a/controlstate/classes.go
+++ b/controlstate/classes.go
@@ -33,9 +33,9 @@
 	return &pb.Class{Name: c.Name, WaitMicros: c.Wait.Microseconds(), AgeMicros: c.Age.Microseconds()}
 }
 
-// Problems validates a class change. It returns the reasons why the change
-// can't be accepted in any state, or none. The result depends on the request
-// alone.
+// Problems validates a class change. It returns the reasons why the
+// change can't be accepted in any state, or none. The result depends on the
+// request alone.
 func Problems(r *pb.ChangeClassRequest) []string {
 	var problems []string
 	if r.GetChangeId() == "" || len(r.GetChangeId()) > maxChangeIDBytes {
--- a/controlstate/watch.go
+++ b/controlstate/watch.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// Since returns the changes from an earlier frame of the same state to f, as a
-// message of a Watch stream. Without a change, it has the versions only.
+// Since returns the changes from an earlier frame of the same state to f,
+// as a message of a Watch stream. Without a change, it has the versions only.
 func (f *Frame) Since(old *Frame) *pb.WatchResponse {
 	m := &pb.WatchResponse{Version: f.Version, ConfigVersion: f.ConfigVersion}
 	if f.Version == old.Version {
@@ -56,7 +56,7 @@
 	return changed, removed
 }
 
-// FrameOf returns the frame that Whole encoded.
+// FrameOf returns the frame of the first message of a Watch stream.
 func FrameOf(m *pb.WatchResponse) *Frame {
 	s := New(Options{})
 	s.version = m.GetVersion()
@@ -65,7 +65,7 @@
 	return s.newFrame()
 }
 
-// With returns a copy of f with the changes of a message that Since returned.
+// With returns a new frame: f with the changes of a later message of the stream.
 func (f *Frame) With(m *pb.WatchResponse) *Frame {
 	s := New(Options{})
 	s.version = m.GetVersion()
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -24,20 +24,21 @@
 	reportInterval = time.Second
 )
 
-// Bounded is a log writer that never blocks. It drops lines that exceed the rate
-// limit, and lines that arrive faster than the underlying writer takes them. It
-// reports in the log how many lines were dropped. It is safe for concurrent use.
+// Bounded is a log writer that never blocks. It drops lines that exceed the
+// rate limit, and lines that arrive faster than the underlying writer takes them.
+// It reports in the log how many lines were dropped. It is safe for concurrent
+// use.
 type Bounded struct {
-	out       io.Writer
-	queue     chan []byte
-	dropped   atomic.Int64
-	stopped   chan struct{}
-	close sync.Once
-	limiter   *rate.Limiter // in bytes
+	out     io.Writer
+	queue   chan []byte
+	dropped atomic.Int64
+	stopped chan struct{}
+	close   sync.Once
+	limiter *rate.Limiter // in bytes
 }
 
-// NewBounded returns a writer that passes lines on to out from a goroutine of its
-// own, which Close ends.
+// NewBounded returns a writer that passes lines on to out. It starts a
+// goroutine for this, which Close ends.
 func NewBounded(out io.Writer) *Bounded {
 	b := &Bounded{
 		out:     out,
