--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,4 +1,6 @@
-// Package admin is the operators' client of the control hosts.
+// Package admin is a client of the control hosts for operators: it changes and lists
+// classes, reads the history and status, and changes the members. The command-line
+// tool cmd/lovageslip and daemon.RunDev use it.
 package admin
 
 import (
@@ -18,8 +20,8 @@
 // attemptTimeout bounds one call to one control host.
 const attemptTimeout = 3 * time.Second
 
-// Unreachable reports that no control host answered. A change may have been
-// accepted; resending it with the same change id is safe.
+// Unreachable reports that the call failed at every control host. A change may
+// nevertheless have been accepted; resending it with the same change id is safe.
 type Unreachable struct {
 	ChangeID string
 	Hosts    []string
@@ -36,7 +38,8 @@
 
 func (e *Unreachable) Unwrap() error { return e.Err }
 
-// Conflict reports that another change took the expected version.
+// Conflict reports that another change was accepted first, so that the expected
+// version is no longer the current one. Nothing was changed.
 type Conflict struct {
 	Expected uint64
 	Winner   *lovageslipv1.ClassChange
@@ -50,7 +53,7 @@
 	return text
 }
 
-// Rejected reports a change that is not valid.
+// Rejected reports that the control hosts found a change invalid.
 type Rejected struct {
 	Problems []string
 }
@@ -77,9 +80,10 @@
 
 // Change is a change to one class.
 type Change struct {
-	// ChangeID identifies the change when it is resent; empty to make one.
+	// ChangeID identifies the change when it is resent; if empty, a new id
+	// is generated.
 	ChangeID string
-	// Expected is the version that the operator saw; zero to take the current one.
+	// Expected is the version that the operator saw; zero for the current one.
 	Expected uint64
 	Class    class.Class
 	Remove   bool
@@ -136,12 +140,12 @@
 	return call(ctx, c, "", &lovageslipv1.HistoryRequest{Limit: limit}, lovageslipv1connect.ControlServiceClient.History)
 }
 
-// Status returns the state of the system.
+// Status returns the hosts, upstreams, owners and groups known to a control host.
 func (c *Client) Status(ctx context.Context) (*lovageslipv1.StatusResponse, error) {
 	return call(ctx, c, "", &lovageslipv1.StatusRequest{}, lovageslipv1connect.ControlServiceClient.Status)
 }
 
-// ListMembers returns the control hosts.
+// ListMembers returns the control hosts and whether each of them votes.
 func (c *Client) ListMembers(ctx context.Context) (*lovageslipv1.MemberResponse, error) {
 	return callMember(ctx, c, &lovageslipv1.ListMembersRequest{}, lovageslipv1connect.MemberServiceClient.ListMembers)
 }
@@ -172,19 +176,19 @@
 
 type method[C, Q, R any] func(C, context.Context, *connect.Request[Q]) (*connect.Response[R], error)
 
-// callEach tries each control host once. Every call is safe to repeat: reads
-// have no effect, a change carries its change id, and adding or removing a
-// member twice has the effect of doing it once.
+// callEach calls the control hosts in turn until one answers, each at most once.
+// Every call is idempotent: reads have no effect, a change carries its change id,
+// and adding or removing a member twice has the effect of doing it once.
 func callEach[C, Q, R any](ctx context.Context, c *Client, clients []C, changeID string, request *Q, m method[C, Q, R]) (*R, error) {
-	var last error
+	var lastErr error
 	for _, client := range clients {
-		attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
-		response, err := m(client, attempt, connect.NewRequest(request))
+		attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
+		response, err := m(client, attemptCtx, connect.NewRequest(request))
 		cancel()
 		if err == nil {
 			return response.Msg, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, &Unreachable{ChangeID: changeID, Hosts: c.hosts, Err: last}
+	return nil, &Unreachable{ChangeID: changeID, Hosts: c.hosts, Err: lastErr}
 }
--- a/cmd/lovageslip-site/main.go
+++ b/cmd/lovageslip-site/main.go
@@ -1,4 +1,5 @@
-// Command lovageslip-site runs a host of a site on the users' platform.
+// Command lovageslip-site runs a proxy or a control host of a site on the users'
+// platform. It takes its settings from the platform's file.
 package main
 
 import (
@@ -44,7 +45,8 @@
 func main() {
 	out := logging.NewBounded(os.Stdout)
 	log := logging.New(out, slog.LevelInfo, logging.FormatJSON)
-	// Libraries that use the standard logger write through it as well.
+	// Libraries that log through the packages log and slog then write to it
+	// as well.
 	slog.SetDefault(log)
 	parsed := kong.Parse(&command{}, kong.Name("lovageslip-site"),
 		kong.Description("Run a host of a site. "+platform.SettingsVariable+" names its settings file."),
--- a/cmd/lovageslip-upstream/main.go
+++ b/cmd/lovageslip-upstream/main.go
@@ -1,4 +1,4 @@
-// Command lovageslip-upstream runs a stand-in database server, for tests and
+// Command lovageslip-upstream runs a stand-in database server for tests and
 // measurements.
 package main
 
@@ -19,6 +19,7 @@
 	"lovageslip/upstream"
 )
 
+// leaveTimeout bounds the announcement that the server is shutting down.
 const leaveTimeout = 5 * time.Second
 
 type flags struct {
@@ -60,11 +61,11 @@
 }
 
 func run(f flags, log *slog.Logger) error {
-	o, err := options(f, log)
+	options, err := serverOptions(f, log)
 	if err != nil {
 		return err
 	}
-	server, err := standin.Start(o)
+	server, err := standin.Start(options)
 	if err != nil {
 		return err
 	}
@@ -73,13 +74,13 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	<-ctx.Done()
 	stop()
-	leaving, cancel := context.WithTimeout(context.Background(), leaveTimeout)
+	leaveCtx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	return server.AnnounceLeaving(leaving)
+	return server.AnnounceLeaving(leaveCtx)
 }
 
-func options(f flags, log *slog.Logger) (standin.Options, error) {
-	o := standin.Options{
+func serverOptions(f flags, log *slog.Logger) (standin.Options, error) {
+	options := standin.Options{
 		Log:            log,
 		Name:           f.Name,
 		Database:       f.Database,
@@ -95,13 +96,14 @@
 		MaxConnections: f.MaxConnections,
 		AnnounceTo:     f.Announce,
 	}
-	return o, secure(f, &o)
+	return options, setCredentials(f, &options)
 }
 
-// secure sets what the flags say of TLS and passwords.
-func secure(f flags, o *standin.Options) error {
+// setCredentials reads the certificates, keys and passwords that the flags name into
+// options.
+func setCredentials(f flags, options *standin.Options) error {
 	var err error
-	o.TLS, err = tlsconf.Server(settings.TLS{Certificate: f.Certificate, Key: f.Key})
+	options.TLS, err = tlsconf.Server(settings.TLS{Certificate: f.Certificate, Key: f.Key})
 	if err != nil {
 		return err
 	}
@@ -111,10 +113,10 @@
 		return err
 	}
 	if client != nil {
-		o.HTTPClient = tlsconf.HTTPClient(client)
+		options.HTTPClient = tlsconf.HTTPClient(client)
 	}
 	if f.PasswordFile != "" {
-		o.Passwords, err = settings.ReadPasswords(f.PasswordFile)
+		options.Passwords, err = settings.ReadPasswords(f.PasswordFile)
 	}
 	return err
 }
--- a/cmd/lovageslip/dev.go
+++ b/cmd/lovageslip/dev.go
@@ -22,7 +22,7 @@
 	Verbose  bool          `help:"Log what the parts do."`
 }
 
-const devReady = `lovageslip is ready. Classes: filing, reading, reviewing. Try:
+const devReadyText = `lovageslip is ready. Classes: filing, reading, reviewing. Try:
 
   psql "host=%s port=%s dbname=%s user=me sslmode=disable"
     SET lovageslip.class = 'filing';
@@ -53,7 +53,7 @@
 		Log:      logging.New(os.Stderr, level, logging.FormatText),
 		Ready: func() {
 			host, port, _ := net.SplitHostPort(c.Callers)
-			fmt.Printf(devReady, host, port, c.Database)
+			fmt.Printf(devReadyText, host, port, c.Database)
 		},
 	})
 }
--- a/cmd/lovageslip/main.go
+++ b/cmd/lovageslip/main.go
@@ -1,5 +1,6 @@
-// Command lovageslip is the operators' tool: it checks settings, states and
-// lists classes, and shows the state of the system.
+// Command lovageslip is the operators' command-line tool. It checks settings files,
+// changes and lists classes and control hosts, shows the state and the history of the
+// system, runs a trial system on loopback and generates load.
 package main
 
 import (
@@ -17,7 +18,7 @@
 	"lovageslip/tlsconf"
 )
 
-// Exit codes for shell scripts.
+// Exit codes, by which shell scripts tell failures apart.
 const (
 	exitFailure     = 1
 	exitUsage       = 2
--- a/cmd/lovageslip/operate.go
+++ b/cmd/lovageslip/operate.go
@@ -70,7 +70,7 @@
 	DryRun   bool   `help:"Check the change without making it."`
 }
 
-func (f *changeFlags) run(ctx context.Context, c class.Class, remove bool) error {
+func (f *changeFlags) changeClass(ctx context.Context, c class.Class, remove bool) error {
 	client, err := f.client()
 	if err != nil {
 		return err
@@ -116,7 +116,7 @@
 }
 
 func (c *classSetCommand) Run(ctx context.Context) error {
-	return c.run(ctx, class.Class{Name: c.Name, Wait: c.Wait, Age: c.Age}, false)
+	return c.changeClass(ctx, class.Class{Name: c.Name, Wait: c.Wait, Age: c.Age}, false)
 }
 
 type classRemoveCommand struct {
@@ -124,7 +124,7 @@
 }
 
 func (c *classRemoveCommand) Run(ctx context.Context) error {
-	return c.run(ctx, class.Class{Name: c.Name}, true)
+	return c.changeClass(ctx, class.Class{Name: c.Name}, true)
 }
 
 type classListCommand struct {
@@ -145,13 +145,13 @@
 	}
 	fmt.Printf("version %d\n", classes.GetVersion())
 	w := newTable("CLASS", "WAIT", "AGE")
-	for _, one := range classes.GetClasses() {
-		fmt.Fprintf(w, "%s\t%s\t%s\n", one.GetName(), micros(one.GetWaitMicros()), micros(one.GetAgeMicros()))
+	for _, listed := range classes.GetClasses() {
+		fmt.Fprintf(w, "%s\t%s\t%s\n", listed.GetName(), microseconds(listed.GetWaitMicros()), microseconds(listed.GetAgeMicros()))
 	}
 	return w.Flush()
 }
 
-func micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
 func newTable(columns ...string) *tabwriter.Writer {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
@@ -223,7 +223,7 @@
 			name += " (removed)"
 		}
 		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\t%s\n", change.GetVersion(), accepted, change.GetOperator(),
-			change.GetChangeId(), name, micros(change.GetClass().GetWaitMicros()), micros(change.GetClass().GetAgeMicros()))
+			change.GetChangeId(), name, microseconds(change.GetClass().GetWaitMicros()), microseconds(change.GetClass().GetAgeMicros()))
 	}
 	return w.Flush()
 }
