--- a/control/agent_test.go
+++ b/control/agent_test.go
@@ -10,10 +10,11 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// An upstream that leaves must be known to proxies within moments, and the
-// owner keeps its lease to finish what is in flight.
+// When an upstream announces that it is leaving, the change must be pushed to
+// proxies at once, and the owner must keep its lease to finish what is in
+// flight.
 func TestLeavingUpstreamIsPushedToProxies(t *testing.T) {
-	c := startCluster(t, 3, quick, nil)
+	c := startCluster(t, 3, shortTiming, nil)
 	awaitLeader(t, c.nodes[0])
 	agent := startAgent(t, "p1", c.nodes[1].address, c.nodes[2].address)
 	c.nodes[2].announce(t, announcement("u1", "luzon"))
@@ -29,28 +30,29 @@
 	assert.Assert(t, held)
 }
 
-// A proxy whose control host is cut off must follow another host, and must
-// not miss a change for longer than it may stay behind.
+// A proxy whose control host is cut off from the others gets no more changes
+// from it. It must notice within Timing.MaxBehind and watch another host.
 func TestAgentLeavesAControlHostThatIsBehind(t *testing.T) {
-	c := startCluster(t, 3, quick, nil)
+	c := startCluster(t, 3, shortTiming, nil)
 	awaitLeader(t, c.nodes[0])
 	agent := startAgent(t, "p1", c.nodes[1].address, c.nodes[2].address)
 	waitFor(t, "view", func() bool { return agent.View() != nil })
 	for i, cut := range []*node{c.nodes[1], c.nodes[2]} {
-		c.cutOff(cut.log, true)
+		c.setIsolated(cut.log, true)
 		request := &pb.ChangeClassRequest{
 			ChangeId: cut.address, ExpectedVersion: uint64(i), Class: &pb.Class{Name: "c" + cut.log.name, WaitMicros: 1000},
 		}
 		_, err := c.nodes[0].client.ChangeClass(t.Context(), connect.NewRequest(request))
 		assert.NilError(t, err)
 		waitFor(t, "change", func() bool { return len(agent.View().Classes) == i+1 })
-		c.cutOff(cut.log, false)
+		c.setIsolated(cut.log, false)
 	}
 }
 
-// A host that is shutting down must hand its upstreams over at once.
+// A host that shuts down must hand its upstreams over at once, not only when
+// their leases expire.
 func TestAgentReleaseHandsOver(t *testing.T) {
-	slow := quick
+	slow := shortTiming
 	slow.LeaseExpiry = time.Hour
 	c := startCluster(t, 1, slow, nil)
 	awaitLeader(t, c.nodes[0])
@@ -65,12 +67,13 @@
 	waitFor(t, "second lease", func() bool { _, ok := second.Lease("u1"); return ok })
 }
 
-// Ownership drifts to other data centres while hosts restart. It must come
-// back without waiting for a lease to run out, or reads cross regions for ever.
+// Restarts of hosts leave upstreams with owners in other data centres. They
+// must move back without waiting for a lease to expire, or their reads cross
+// regions for ever.
 func TestUpstreamMovesBackToItsDataCentre(t *testing.T) {
-	timing := quick
+	timing := shortTiming
 	timing.LeaseExpiry = time.Hour
-	timing.HostSteady = 100 * time.Millisecond
+	timing.HostStableTime = 100 * time.Millisecond
 	c := startCluster(t, 1, timing, nil)
 	awaitLeader(t, c.nodes[0])
 	far := startAgent(t, "p1", c.nodes[0].address)
--- a/control/announce.go
+++ b/control/announce.go
@@ -12,10 +12,10 @@
 	"lovageslip/gen/lovageslip/v1/lovageslipv1connect"
 )
 
-// Announce registers an upstream. It logs only what differs from the
-// registration.
+// Announce registers an upstream or updates its registration. A command goes
+// to the replicated log only if the announcement differs from the registration.
 func (s *Server) Announce(ctx context.Context, r *connect.Request[pb.AnnounceRequest]) (*connect.Response[pb.AnnounceResponse], error) {
-	return answer(ctx, s, r, s.announce, lovageslipv1connect.ControlServiceClient.Announce)
+	return answerOrForward(ctx, s, r, s.announce, lovageslipv1connect.ControlServiceClient.Announce)
 }
 
 func (s *Server) announce(ctx context.Context, l *leadership, a *pb.AnnounceRequest) (*pb.AnnounceResponse, error) {
@@ -39,7 +39,8 @@
 	return &pb.AnnounceResponse{Version: result.GetVersion()}, nil
 }
 
-// CheckAnnouncement returns the first bad field of an announcement.
+// CheckAnnouncement returns a *fault.Invalid for the first invalid field of an
+// announcement, or nil.
 func CheckAnnouncement(a *pb.AnnounceRequest) error {
 	switch {
 	case a.GetName() == "":
--- a/control/assign.go
+++ b/control/assign.go
@@ -10,7 +10,7 @@
 )
 
 // maxProposals bounds the proposals in flight when many upstreams lose their
-// owner together, for example with a data centre.
+// owner at the same time, for example because a data centre has failed.
 const maxProposals = 16
 
 // assignment is an owner chosen for an upstream.
@@ -19,7 +19,7 @@
 	host     string
 }
 
-// assignOwners gives every upstream whose lease has ended a new owner.
+// assignOwners proposes a new owner for every upstream whose lease has ended.
 func (l *leadership) assignOwners() {
 	due := l.dueAssignments(l.Frame())
 	if len(due) == 0 {
@@ -41,7 +41,7 @@
 			continue
 		}
 		if candidates == nil {
-			candidates = l.candidates(frame, l.alive(now))
+			candidates = l.candidates(frame, l.acceptsUpstreams(now))
 		}
 		if host, ok := candidates.choose(u, l.avoided(u)); ok {
 			due = append(due, assignment{upstream: u, host: host})
@@ -51,7 +51,7 @@
 }
 
 func (l *leadership) needsOwner(u *pb.Upstream, now time.Time) bool {
-	if u.GetOwnerEpoch() == 0 && now.Before(l.since.Add(l.server.timing.HostSettle)) {
+	if u.GetOwnerEpoch() == 0 && now.Before(l.startedAt.Add(l.server.timing.FirstAssignDelay)) {
 		return false
 	}
 	return l.leases.free(u, now)
@@ -67,28 +67,30 @@
 		ExpectedEpoch: a.upstream.GetOwnerEpoch(),
 	}}})
 	if err != nil || !applied {
-		l.server.log.Warn("owner not assigned", "upstream", a.upstream.GetName(), "host", a.host, "err", err)
+		l.server.log.Warn("owner of upstream not assigned", "upstream", a.upstream.GetName(), "host", a.host, "err", err)
 		return
 	}
 	l.server.metrics.Counter("owners_assigned_total").Inc(1)
-	l.server.log.Info("owner assigned", "upstream", a.upstream.GetName(), "host", a.host, "epoch", a.upstream.GetOwnerEpoch()+1)
+	l.server.log.Info("owner of upstream assigned", "upstream", a.upstream.GetName(), "host", a.host, "epoch", a.upstream.GetOwnerEpoch()+1)
 }
 
 // candidateSet holds the hosts that may become owners and how many upstreams
-// each owns, counting those chosen in this round.
+// each of them owns, including those assigned to it in this round.
 type candidateSet struct {
-	hosts []*pb.Host
-	owned map[string]int
+	hosts      []*pb.Host
+	ownedCount map[string]int
 }
 
-// alive returns a test for hosts that may get an upstream.
-func (l *leadership) alive(now time.Time) func(hostSeen) bool {
-	return func(h hostSeen) bool {
-		return !h.leaving && now.Sub(h.at) <= l.server.timing.HostAlive
+// acceptsUpstreams returns a filter for hosts that may become owners: they are
+// not leaving and have sent a heartbeat within HostTimeout.
+func (l *leadership) acceptsUpstreams(now time.Time) func(hostContact) bool {
+	return func(h hostContact) bool {
+		return !h.leaving && now.Sub(h.lastHeartbeat) <= l.server.timing.HostTimeout
 	}
 }
 
-// avoided returns the host that upstream u is taken from, empty if none.
+// avoided returns the host that upstream u is being moved away from, empty if
+// there is none.
 func (l *leadership) avoided(u *pb.Upstream) string {
 	if l.leases.isStopped(u) {
 		return u.GetOwner()
@@ -96,82 +98,83 @@
 	return ""
 }
 
-func (l *leadership) candidates(frame *controlstate.Frame, fit func(hostSeen) bool) *candidateSet {
-	c := &candidateSet{owned: map[string]int{}}
+func (l *leadership) candidates(frame *controlstate.Frame, accepts func(hostContact) bool) *candidateSet {
+	c := &candidateSet{ownedCount: map[string]int{}}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name, seen := range l.hosts {
-		host, known := frame.Hosts[name]
-		if !known || !fit(seen) {
+	for name, contact := range l.hostContacts {
+		host, registered := frame.Hosts[name]
+		if !registered || !accepts(contact) {
 			continue
 		}
 		c.hosts = append(c.hosts, host)
-		c.owned[name] = len(frame.OwnedBy(name))
+		c.ownedCount[name] = len(frame.OwnedBy(name))
 	}
 	return c
 }
 
-// choose prefers the upstream's data centre, then the host that owns fewest,
-// then the first name. The avoided host is chosen only if it is the only one.
+// choose returns the new owner of u. It prefers hosts in the upstream's data
+// centre, then the host that owns the fewest upstreams, then the first by name.
+// The host avoid is chosen only if there is no other.
 func (c *candidateSet) choose(u *pb.Upstream, avoid string) (string, bool) {
-	best := c.best(u, avoid)
+	best := c.bestOwner(u, avoid)
 	if best == nil {
-		best = c.best(u, "")
+		best = c.bestOwner(u, "")
 	}
 	if best == nil {
 		return "", false
 	}
-	c.owned[best.GetName()]++
+	c.ownedCount[best.GetName()]++
 	return best.GetName(), true
 }
 
-func (c *candidateSet) best(u *pb.Upstream, avoid string) *pb.Host {
+func (c *candidateSet) bestOwner(u *pb.Upstream, avoid string) *pb.Host {
 	var best *pb.Host
 	for _, h := range c.hosts {
 		if h.GetName() == avoid {
 			continue
 		}
-		if best == nil || c.better(h, best, u.GetDataCentre()) {
+		if best == nil || c.isBetterOwner(h, best, u.GetDataCentre()) {
 			best = h
 		}
 	}
 	return best
 }
 
-func (c *candidateSet) better(a, b *pb.Host, dataCentre string) bool {
-	nearA, nearB := a.GetDataCentre() == dataCentre, b.GetDataCentre() == dataCentre
-	if nearA != nearB {
-		return nearA
+func (c *candidateSet) isBetterOwner(a, b *pb.Host, dataCentre string) bool {
+	localA, localB := a.GetDataCentre() == dataCentre, b.GetDataCentre() == dataCentre
+	if localA != localB {
+		return localA
 	}
-	if c.owned[a.GetName()] != c.owned[b.GetName()] {
-		return c.owned[a.GetName()] < c.owned[b.GetName()]
+	if c.ownedCount[a.GetName()] != c.ownedCount[b.GetName()] {
+		return c.ownedCount[a.GetName()] < c.ownedCount[b.GetName()]
 	}
 	return a.GetName() < b.GetName()
 }
 
-// removeHosts removes the registration of hosts that have been silent for
-// long and own nothing.
-func (l *leadership) removeHosts() {
+// removeSilentHosts removes the registration of hosts that have sent no
+// heartbeat for HostRemovalDelay and own no upstream.
+func (l *leadership) removeSilentHosts() {
 	now := l.server.timing.now()
-	if now.Sub(l.since) < l.server.timing.HostRemoval {
+	if now.Sub(l.startedAt) < l.server.timing.HostRemovalDelay {
 		return
 	}
 	frame := l.Frame()
 	for name := range frame.Hosts {
-		if l.silentSince(name, now) < l.server.timing.HostRemoval || len(frame.OwnedBy(name)) > 0 {
+		if l.silentFor(name, now) < l.server.timing.HostRemovalDelay || len(frame.OwnedBy(name)) > 0 {
 			continue
 		}
 		applied, err := l.Propose(l.ctx, &pb.Command{Command: &pb.Command_RemoveHost{RemoveHost: &pb.RemoveHost{Name: name}}})
-		l.server.log.Info("silent host removed", "host", name, "applied", applied, "err", err)
+		l.server.log.Info("removal of silent host proposed", "host", name, "applied", applied, "err", err)
 	}
 }
 
-func (l *leadership) silentSince(host string, now time.Time) time.Duration {
+func (l *leadership) silentFor(host string, now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	seen, ok := l.hosts[host]
+	contact, ok := l.hostContacts[host]
 	if !ok {
-		return now.Sub(l.since)
+		return now.Sub(l.startedAt)
 	}
-	return now.Sub(seen.at)
+	return now.Sub(contact.lastHeartbeat)
 }
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -19,15 +19,15 @@
 
 const upstreamsPerDatabase = 3
 
-func atSizes(b *testing.B, run func(b *testing.B, hosts int)) {
+func runAtSizes(b *testing.B, run func(b *testing.B, hosts int)) {
 	for _, hosts := range []int{18, 100, 400, 780} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) { run(b, hosts) })
 	}
 }
 
-// fill gives a state that many hosts, and as many databases with three
-// upstreams each; every host owns three.
-func fill(state *controlstate.State, hosts int) {
+// populate fills a state with the given number of hosts and as many databases
+// of three upstreams each. Every host owns three upstreams.
+func populate(state *controlstate.State, hosts int) {
 	apply := func(cmd *pb.Command) {
 		cmd.LeaderTerm = 1
 		data, _ := proto.Marshal(cmd)
@@ -59,7 +59,7 @@
 
 func dataCentre(i int) string { return fmt.Sprintf("data-centre-%d", i%8) }
 
-func heartbeatOf(i int) *pb.HeartbeatRequest {
+func populatedHeartbeat(i int) *pb.HeartbeatRequest {
 	r := &pb.HeartbeatRequest{
 		Host: fmt.Sprintf("proxy-%03d", i), Address: address(i), DataCentre: dataCentre(i), Version: 10_000, Incarnation: 1 << 60,
 	}
@@ -75,9 +75,9 @@
 // BenchmarkWatchWhole reports the size of a whole state, and the time to build
 // and encode it.
 func BenchmarkWatchWhole(b *testing.B) {
-	atSizes(b, func(b *testing.B, hosts int) {
+	runAtSizes(b, func(b *testing.B, hosts int) {
 		state := controlstate.New(controlstate.Options{})
-		fill(state, hosts)
+		populate(state, hosts)
 		size := 0
 		for b.Loop() {
 			data, err := proto.Marshal(state.Frame().Whole())
@@ -88,12 +88,12 @@
 	})
 }
 
-// BenchmarkWatchChange reports the cost of one change of a class: a new frame,
-// its difference and the encoding for one stream.
+// BenchmarkWatchChange reports the cost of one change of a class: building a
+// new frame and its difference, and encoding it for one stream.
 func BenchmarkWatchChange(b *testing.B) {
-	atSizes(b, func(b *testing.B, hosts int) {
+	runAtSizes(b, func(b *testing.B, hosts int) {
 		state := controlstate.New(controlstate.Options{})
-		fill(state, hosts)
+		populate(state, hosts)
 		version, _ := state.Classes()
 		old, size := state.Frame(), 0
 		for b.Loop() {
@@ -112,12 +112,13 @@
 	})
 }
 
-// startFilled starts one control host whose hosts hold their leases.
-func startFilled(b *testing.B, hosts int) *node {
-	timing := control.Timing{LeaseExpiry: time.Hour, HostRemoval: time.Hour, Tick: time.Hour}
-	c := startCluster(b, 1, timing, &databases{})
+// startPopulatedNode starts one control host with a populated state. Leases
+// don't expire and no host is removed during the benchmark.
+func startPopulatedNode(b *testing.B, hosts int) *node {
+	timing := control.Timing{LeaseExpiry: time.Hour, HostRemovalDelay: time.Hour, Tick: time.Hour}
+	c := startCluster(b, 1, timing, &fakeDatabases{})
 	n := c.nodes[0]
-	fill(n.state, hosts)
+	populate(n.state, hosts)
 	n.server.Wake()
 	awaitLeader(b, n)
 	return n
@@ -126,11 +127,11 @@
 // BenchmarkHeartbeat reports the leader's cost of a heartbeat, without the
 // network, and the size of its messages.
 func BenchmarkHeartbeat(b *testing.B) {
-	atSizes(b, func(b *testing.B, hosts int) {
-		n := startFilled(b, hosts)
+	runAtSizes(b, func(b *testing.B, hosts int) {
+		n := startPopulatedNode(b, hosts)
 		requests := make([]*connect.Request[pb.HeartbeatRequest], hosts)
 		for i := range requests {
-			requests[i] = connect.NewRequest(heartbeatOf(i))
+			requests[i] = connect.NewRequest(populatedHeartbeat(i))
 		}
 		i, answered := 0, 0
 		b.ReportAllocs()
@@ -150,14 +151,14 @@
 // heartbeat over one HTTP/2 connection, both directions and all headers
 // included, client and server in one process.
 func BenchmarkHeartbeatOverHTTP(b *testing.B) {
-	atSizes(b, func(b *testing.B, hosts int) {
-		n := startFilled(b, hosts)
-		warm := connect.NewRequest(heartbeatOf(0))
-		_, err := n.client.Heartbeat(b.Context(), warm)
+	runAtSizes(b, func(b *testing.B, hosts int) {
+		n := startPopulatedNode(b, hosts)
+		firstRequest := connect.NewRequest(populatedHeartbeat(0))
+		_, err := n.client.Heartbeat(b.Context(), firstRequest)
 		assert.NilError(b, err)
 		before, cpu, i := n.traffic.Load(), processorTime(b), 0
 		for b.Loop() {
-			_, err := n.client.Heartbeat(b.Context(), connect.NewRequest(heartbeatOf(i%hosts)))
+			_, err := n.client.Heartbeat(b.Context(), connect.NewRequest(populatedHeartbeat(i%hosts)))
 			assert.NilError(b, err)
 			i++
 		}
@@ -166,7 +167,7 @@
 	})
 }
 
-// processorTime returns the processor time that the process has used.
+// processorTime returns the processor time used by the process.
 func processorTime(b *testing.B) time.Duration {
 	var usage unix.Rusage
 	assert.NilError(b, unix.Getrusage(unix.RUSAGE_SELF, &usage))
@@ -176,14 +177,14 @@
 // BenchmarkLeaderTick reports the cost of one round of the leader loop in
 // which nothing is due. There are 20 rounds in a second.
 func BenchmarkLeaderTick(b *testing.B) {
-	atSizes(b, func(b *testing.B, hosts int) {
-		n := startFilled(b, hosts)
+	runAtSizes(b, func(b *testing.B, hosts int) {
+		n := startPopulatedNode(b, hosts)
 		for i := range hosts {
-			_, err := n.server.Heartbeat(b.Context(), connect.NewRequest(heartbeatOf(i)))
+			_, err := n.server.Heartbeat(b.Context(), connect.NewRequest(populatedHeartbeat(i)))
 			assert.NilError(b, err)
 		}
 		for b.Loop() {
-			n.server.Act()
+			n.server.RunRound()
 		}
 	})
 }
--- a/control/classes.go
+++ b/control/classes.go
@@ -11,9 +11,10 @@
 	"lovageslip/gen/lovageslip/v1/lovageslipv1connect"
 )
 
-// ChangeClass changes a class. It is safe to send a change id again.
+// ChangeClass changes a class. It is idempotent: a call with a known change id
+// gets the answer to the first call.
 func (s *Server) ChangeClass(ctx context.Context, r *connect.Request[pb.ChangeClassRequest]) (*connect.Response[pb.ChangeClassResponse], error) {
-	return answer(ctx, s, r, s.changeClass, lovageslipv1connect.ControlServiceClient.ChangeClass)
+	return answerOrForward(ctx, s, r, s.changeClass, lovageslipv1connect.ControlServiceClient.ChangeClass)
 }
 
 func (s *Server) changeClass(ctx context.Context, _ *leadership, r *pb.ChangeClassRequest) (*pb.ChangeClassResponse, error) {
@@ -39,7 +40,7 @@
 	s.metrics.Counter("class_changes_total").Inc(1)
 }
 
-// ListClasses returns the classes as a quorum has them.
+// ListClasses returns the classes after a quorum read.
 func (s *Server) ListClasses(ctx context.Context, _ *connect.Request[pb.ListClassesRequest]) (*connect.Response[pb.ListClassesResponse], error) {
 	if _, err := s.consensus.ReadIndex(ctx); err != nil {
 		return nil, controlclient.ToConnect(err)
@@ -48,7 +49,8 @@
 	return connect.NewResponse(&pb.ListClassesResponse{Version: version, Classes: classes}), nil
 }
 
-// History returns accepted changes, the latest first.
+// History returns the accepted class changes after a quorum read, the latest
+// first.
 func (s *Server) History(ctx context.Context, r *connect.Request[pb.HistoryRequest]) (*connect.Response[pb.HistoryResponse], error) {
 	if _, err := s.consensus.ReadIndex(ctx); err != nil {
 		return nil, controlclient.ToConnect(err)
--- a/control/controlclient/client.go
+++ b/control/controlclient/client.go
@@ -1,5 +1,6 @@
-// Package controlclient holds what callers of ControlService share: the HTTP
-// client, the mark of forwarded calls and the mapping of errors.
+// Package controlclient holds what clients and servers of ControlService share:
+// the HTTP client, the header of forwarded calls and the mapping of errors to
+// connect codes. Control hosts and proxies use it.
 package controlclient
 
 import (
@@ -28,8 +29,8 @@
 )
 
 // NewHTTPClient returns a client for HTTP/2 without TLS. It closes connections
-// that answer no ping for pingTimeout, because a connection may stop
-// responding for good while new ones work.
+// on which a ping stays unanswered for pingTimeout, because a connection may
+// stop responding for good while new connections work.
 func NewHTTPClient() *http.Client {
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
@@ -46,12 +47,12 @@
 	return lovageslipv1connect.NewControlServiceClient(client, "http://"+address)
 }
 
-// Unavailable reports that no control host could answer for a quorum. After a
-// call that changes something the change may still take effect; it is safe to
-// send it again.
+// Unavailable reports that no control host could answer on behalf of a quorum.
+// If the call requested a change, the change may still take effect; it is safe
+// to repeat the call.
 type Unavailable struct {
 	Detail string
-	// RetryAfter is when to come back; zero if unknown.
+	// RetryAfter is how long to wait before a retry; zero if unknown.
 	RetryAfter time.Duration
 	Err        error
 }
@@ -60,16 +61,18 @@
 
 func (e *Unavailable) Unwrap() error { return e.Err }
 
-// retryAfterHeader says after how many milliseconds to come back.
+// retryAfterHeader carries how many milliseconds to wait before a retry.
 const retryAfterHeader = "Lovageslip-Retry-After-Ms"
 
-// ToConnect maps an error to the wire.
+// ToConnect returns err as a *connect.Error, with the time to wait before a
+// retry if it is known. It returns nil and errors that wrap a *connect.Error
+// unchanged.
 func ToConnect(err error) error {
-	var ready *connect.Error
-	if err == nil || errors.As(err, &ready) {
+	var connectErr *connect.Error
+	if err == nil || errors.As(err, &connectErr) {
 		return err
 	}
-	mapped := connect.NewError(code(err), err)
+	mapped := connect.NewError(connectCode(err), err)
 	if after := retryAfter(err); after > 0 {
 		mapped.Meta().Set(retryAfterHeader, strconv.FormatInt(after.Milliseconds(), 10))
 	}
@@ -88,7 +91,7 @@
 	return 0
 }
 
-func sentRetryAfter(err error) time.Duration {
+func receivedRetryAfter(err error) time.Duration {
 	var received *connect.Error
 	if !errors.As(err, &received) {
 		return 0
@@ -100,19 +103,20 @@
 	return time.Duration(after) * time.Millisecond
 }
 
-func code(err error) connect.Code {
+func connectCode(err error) connect.Code {
 	var invalid *fault.Invalid
-	var unknown *fault.OutcomeUnknown
+	var outcomeUnknown *fault.OutcomeUnknown
 	switch {
 	case errors.As(err, &invalid):
 		return connect.CodeInvalidArgument
-	case errors.As(err, &unknown):
+	case errors.As(err, &outcomeUnknown):
 		return connect.CodeAborted
 	}
 	return connect.CodeUnavailable
 }
 
-// FromConnect maps an error of a call back to a typed error.
+// FromConnect maps the error of a call to *fault.Invalid, *fault.OutcomeUnknown
+// or *Unavailable. It returns nil if err is nil.
 func FromConnect(err error) error {
 	if err == nil {
 		return nil
@@ -123,5 +127,5 @@
 	case connect.CodeAborted:
 		return &fault.OutcomeUnknown{Reason: fault.ReasonOutcomeUnknown, Detail: err.Error(), Err: err}
 	}
-	return &Unavailable{Detail: err.Error(), RetryAfter: sentRetryAfter(err), Err: err}
+	return &Unavailable{Detail: err.Error(), RetryAfter: receivedRetryAfter(err), Err: err}
 }
--- a/control/export_test.go
+++ b/control/export_test.go
@@ -1,4 +1,4 @@
 package control
 
-// Act runs one round of what the leader does. Run must be idle meanwhile.
-func (s *Server) Act() { s.currentLeadership().act() }
+// RunRound runs one round of the leader loop. Run must not start one meanwhile.
+func (s *Server) RunRound() { s.currentLeadership().runRound() }
--- a/control/fixture_test.go
+++ b/control/fixture_test.go
@@ -21,15 +21,15 @@
 	"lovageslip/upstream"
 )
 
-// quick shortens the settling times; the lease keeps its length relative to
-// its expiry.
-var quick = control.Timing{
-	Lease:         900 * time.Millisecond,
-	LeaseExpiry:   time.Second,
-	Tick:          10 * time.Millisecond,
-	HostAlive:     2 * time.Second,
-	HostSettle:    50 * time.Millisecond,
-	WatchInterval: 50 * time.Millisecond,
+// shortTiming shortens the delays of the leader. The lease stays a tenth
+// shorter than its expiry.
+var shortTiming = control.Timing{
+	Lease:            900 * time.Millisecond,
+	LeaseExpiry:      time.Second,
+	Tick:             10 * time.Millisecond,
+	HostTimeout:      2 * time.Second,
+	FirstAssignDelay: 50 * time.Millisecond,
+	WatchInterval:    50 * time.Millisecond,
 }
 
 type node struct {
@@ -38,7 +38,7 @@
 	server  *control.Server
 	address string
 	client  lovageslipv1connect.ControlServiceClient
-	// traffic counts the bytes in both directions.
+	// traffic counts the bytes of all connections, in both directions.
 	traffic atomic.Int64
 }
 
@@ -91,7 +91,7 @@
 	t.Cleanup(func() { server.Close() })
 }
 
-// awaitLeader waits until a node answers heartbeats.
+// awaitLeader waits until a node answers a status call, which needs a leader.
 func awaitLeader(t testing.TB, n *node) {
 	t.Helper()
 	waitFor(t, "leader", func() bool {
@@ -123,11 +123,11 @@
 	assert.NilError(t, err)
 }
 
-func beat(host, dataCentre string) *pb.HeartbeatRequest {
+func heartbeatRequest(host, dataCentre string) *pb.HeartbeatRequest {
 	return &pb.HeartbeatRequest{Host: host, Address: "127.0.0.1:7000", DataCentre: dataCentre, Incarnation: 1}
 }
 
-func (n *node) beat(t testing.TB, r *pb.HeartbeatRequest) *pb.HeartbeatResponse {
+func (n *node) heartbeat(t testing.TB, r *pb.HeartbeatRequest) *pb.HeartbeatResponse {
 	t.Helper()
 	response, err := n.client.Heartbeat(t.Context(), connect.NewRequest(r))
 	assert.NilError(t, err)
@@ -162,7 +162,7 @@
 	httpClient := controlclient.NewHTTPClient()
 	agent := member.New(member.Options{
 		Control: addresses, Name: name, Address: "127.0.0.1:7001", DataCentre: dataCentre, HTTPClient: httpClient, Health: health,
-		Timing: member.Timing{Heartbeat: 50 * time.Millisecond, Silence: time.Second, Behind: 300 * time.Millisecond},
+		Timing: member.Timing{Heartbeat: 50 * time.Millisecond, StreamTimeout: time.Second, MaxBehind: 300 * time.Millisecond},
 	})
 	runUntilEnd(t, httpClient, agent.Run)
 	return agent
--- a/control/forward.go
+++ b/control/forward.go
@@ -11,17 +11,18 @@
 	"lovageslip/gen/lovageslip/v1/lovageslipv1connect"
 )
 
-// answer runs act if this host leads, and otherwise forwards the call to the
-// leader. A call that was forwarded already is never forwarded again.
-func answer[Q, A any](
+// answerOrForward runs handle if this host leads, and otherwise forwards the
+// request to the leader with call. A request that was forwarded already is
+// refused instead, so that it cannot circulate between hosts.
+func answerOrForward[Q, A any](
 	ctx context.Context,
 	s *Server,
 	r *connect.Request[Q],
-	act func(context.Context, *leadership, *Q) (*A, error),
+	handle func(context.Context, *leadership, *Q) (*A, error),
 	call func(lovageslipv1connect.ControlServiceClient, context.Context, *connect.Request[Q]) (*connect.Response[A], error),
 ) (*connect.Response[A], error) {
-	if l, ok := s.leading(); ok {
-		a, err := act(ctx, l, r.Msg)
+	if l, ok := s.activeLeadership(); ok {
+		a, err := handle(ctx, l, r.Msg)
 		if err != nil {
 			return nil, controlclient.ToConnect(err)
 		}
@@ -46,23 +47,23 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.timing.ForwardTimeout)
 	defer cancel()
-	ctx, stop := s.whileLeader(ctx, address)
+	ctx, stop := s.contextWhileLeader(ctx, address)
 	defer stop()
-	passed := connect.NewRequest(r.Msg)
-	passed.Header().Set(controlclient.ForwardedHeader, s.name)
+	forwarded := connect.NewRequest(r.Msg)
+	forwarded.Header().Set(controlclient.ForwardedHeader, s.name)
 	s.metrics.Counter("forwarded_total").Inc(1)
-	response, err := call(s.peer(address), ctx, passed)
+	response, err := call(s.peer(address), ctx, forwarded)
 	if err != nil {
 		return nil, controlclient.ToConnect(controlclient.FromConnect(err))
 	}
 	return connect.NewResponse(response.Msg), nil
 }
 
-// whileLeader returns a context that ends once the host at an address is not
-// known as leader any more. A frozen host keeps its connections and answers
-// nothing, so without it a call would wait for the whole timeout although
-// another leader could answer.
-func (s *Server) whileLeader(ctx context.Context, address string) (context.Context, context.CancelFunc) {
+// contextWhileLeader returns a context that ends once the host at address is no
+// longer known as the leader. A frozen leader keeps its connections open and
+// answers nothing, so a call to it would otherwise wait for the whole timeout
+// although another leader could answer.
+func (s *Server) contextWhileLeader(ctx context.Context, address string) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	var tasks conc.WaitGroup
 	tasks.Go(func() {
@@ -73,7 +74,7 @@
 			case <-ctx.Done():
 				return
 			case <-ticker.C:
-				if _, now, _ := s.consensus.Leader(); now != address {
+				if _, leaderAddress, _ := s.consensus.Leader(); leaderAddress != address {
 					cancel()
 				}
 			}
--- a/control/heartbeat.go
+++ b/control/heartbeat.go
@@ -17,16 +17,17 @@
 	"lovageslip/upstream"
 )
 
-// Heartbeat renews the leases of a proxy. Only the leader answers.
+// Heartbeat renews the leases of a proxy. Only the leader answers; other hosts
+// forward the request to it.
 func (s *Server) Heartbeat(ctx context.Context, r *connect.Request[pb.HeartbeatRequest]) (*connect.Response[pb.HeartbeatResponse], error) {
-	return answer(ctx, s, r, s.beat, lovageslipv1connect.ControlServiceClient.Heartbeat)
+	return answerOrForward(ctx, s, r, s.heartbeat, lovageslipv1connect.ControlServiceClient.Heartbeat)
 }
 
-func (s *Server) beat(ctx context.Context, l *leadership, r *pb.HeartbeatRequest) (*pb.HeartbeatResponse, error) {
-	if err := checkHost(r); err != nil {
+func (s *Server) heartbeat(ctx context.Context, l *leadership, r *pb.HeartbeatRequest) (*pb.HeartbeatResponse, error) {
+	if err := checkHeartbeat(r); err != nil {
 		return nil, err
 	}
-	if err := l.ensureHost(ctx, r); err != nil {
+	if err := l.ensureHostRegistered(ctx, r); err != nil {
 		return nil, err
 	}
 	now := s.timing.now()
@@ -35,14 +36,15 @@
 		return nil, &controlclient.Unavailable{Detail: "another process of this host has registered"}
 	}
 	l.release(frame, r)
-	l.note(frame, r, now)
+	l.recordHeartbeat(frame, r, now)
 	response := &pb.HeartbeatResponse{
 		Version:     frame.ConfigVersion,
 		LeaseMicros: s.timing.Lease.Microseconds(),
 	}
 	l.renew(frame, response, r.GetHost(), now)
-	// A later leader counts one lease from its start, so an answer is good
-	// only if this leader was still in office after it had read the time.
+	// The next leader waits one lease expiry from its own start before it
+	// reassigns upstreams. The renewals are therefore valid only if this host
+	// was still the leader after it had read the time.
 	if !s.leads(l.term) {
 		return nil, &controlclient.Unavailable{Detail: "this host leads no longer"}
 	}
@@ -50,7 +52,7 @@
 	return response, nil
 }
 
-func checkHost(r *pb.HeartbeatRequest) error {
+func checkHeartbeat(r *pb.HeartbeatRequest) error {
 	if r.GetHost() == "" {
 		return &fault.Invalid{Field: "host", Allowed: "a name"}
 	}
@@ -64,14 +66,15 @@
 	return nil
 }
 
-// ensureHost registers a host that is new, has moved or has restarted.
-func (l *leadership) ensureHost(ctx context.Context, r *pb.HeartbeatRequest) error {
-	known := l.Frame().Hosts[r.GetHost()]
-	same := known != nil &&
-		known.GetAddress() == r.GetAddress() &&
-		known.GetDataCentre() == r.GetDataCentre() &&
-		known.GetIncarnation() == r.GetIncarnation()
-	if same {
+// ensureHostRegistered registers the host of a heartbeat if it is new, has
+// restarted, or has another address or data centre than before.
+func (l *leadership) ensureHostRegistered(ctx context.Context, r *pb.HeartbeatRequest) error {
+	registered := l.Frame().Hosts[r.GetHost()]
+	unchanged := registered != nil &&
+		registered.GetAddress() == r.GetAddress() &&
+		registered.GetDataCentre() == r.GetDataCentre() &&
+		registered.GetIncarnation() == r.GetIncarnation()
+	if unchanged {
 		return nil
 	}
 	host := &pb.Host{Name: r.GetHost(), Address: r.GetAddress(), DataCentre: r.GetDataCentre(), Incarnation: r.GetIncarnation()}
@@ -86,11 +89,12 @@
 	return nil
 }
 
-// release ends the leases that the host gives up. A host that leaves holds none
-// any more, not even on upstreams that it does not know to be its own yet.
+// release ends the leases that the host has released. A host that is leaving
+// loses all its leases, including those on upstreams that were assigned to it
+// so recently that it does not know of them and cannot list them.
 func (l *leadership) release(frame *controlstate.Frame, r *pb.HeartbeatRequest) {
 	for _, u := range frame.OwnedBy(r.GetHost()) {
-		if !r.GetLeaving() && !names(r.GetReleased(), u) {
+		if !r.GetLeaving() && !containsEpoch(r.GetReleased(), u) {
 			continue
 		}
 		l.leases.release(u)
@@ -98,13 +102,14 @@
 	}
 }
 
-func names(released []*pb.OwnedEpoch, u *pb.Upstream) bool {
+func containsEpoch(released []*pb.OwnedEpoch, u *pb.Upstream) bool {
 	return slices.ContainsFunc(released, func(o *pb.OwnedEpoch) bool {
 		return o.GetUpstream() == u.GetName() && o.GetEpoch() == u.GetOwnerEpoch()
 	})
 }
 
-// renew fills in which leases are renewed and which are to be handed over.
+// renew renews the host's leases, and lists in the response r which of them are
+// renewed and which upstreams the host must hand over.
 func (l *leadership) renew(frame *controlstate.Frame, r *pb.HeartbeatResponse, host string, now time.Time) {
 	for _, u := range frame.OwnedBy(host) {
 		owned := &pb.OwnedEpoch{Upstream: u.GetName(), Epoch: u.GetOwnerEpoch()}
@@ -116,17 +121,18 @@
 	}
 }
 
-// note keeps the host's liveness and its reports on upstreams that it owns.
-func (l *leadership) note(frame *controlstate.Frame, r *pb.HeartbeatRequest, now time.Time) {
+// recordHeartbeat stores the time of the host's heartbeat and its reports on
+// upstreams that it owns.
+func (l *leadership) recordHeartbeat(frame *controlstate.Frame, r *pb.HeartbeatRequest, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hosts[r.GetHost()] = l.hosts[r.GetHost()].next(now, r, l.server.timing.HostAlive)
+	l.hostContacts[r.GetHost()] = l.hostContacts[r.GetHost()].afterHeartbeat(now, r, l.server.timing.HostTimeout)
 	for _, h := range r.GetHealth() {
 		if frame.Upstreams[h.GetUpstream()].GetOwner() != r.GetHost() {
 			continue
 		}
 		l.reports[h.GetUpstream()] = reportOf(h, now)
-		l.messages[h.GetUpstream()] = h
+		l.upstreamHealth[h.GetUpstream()] = h
 	}
 }
 
--- a/control/leader.go
+++ b/control/leader.go
@@ -14,48 +14,52 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// leadership is one term in which this host acts as the control leader. What
-// it holds in memory is lost with it; a new leader waits one lease instead.
+// leadership is one term in which this host acts as the control leader. Its
+// leases, heartbeats and reports are held in memory only. A new leader does not
+// have them, and waits one lease expiry before it reassigns upstreams.
 type leadership struct {
-	server *Server
-	term   uint64
-	since  time.Time
-	leases *leaseTable
-	groups *failover.Supervisor
-	ctx    context.Context
-	cancel context.CancelFunc
-	// acting is true while act runs in tasks.
-	acting atomic.Bool
-	tasks  conc.WaitGroup
-
-	// balancedAt is when an upstream was last moved; only act uses it.
+	server     *Server
+	term       uint64
+	startedAt  time.Time
+	leases     *leaseTable
+	supervisor *failover.Supervisor
+	ctx        context.Context
+	cancel     context.CancelFunc
+	// roundRunning is true while a goroutine of tasks executes runRound.
+	roundRunning atomic.Bool
+	tasks        conc.WaitGroup
+
+	// balancedAt is when balance last looked for an upstream to move; only
+	// runRound uses it.
 	balancedAt time.Time
 
 	// mu guards the maps below.
-	mu       sync.Mutex
-	hosts    map[string]hostSeen
-	reports  map[string]failover.Report
-	messages map[string]*pb.UpstreamHealth
+	mu             sync.Mutex
+	hostContacts   map[string]hostContact
+	reports        map[string]failover.Report
+	upstreamHealth map[string]*pb.UpstreamHealth
 }
 
-// hostSeen is the last heartbeat of a host.
-type hostSeen struct {
-	at time.Time
-	// steadySince is when the host came to be alive without a break.
-	steadySince time.Time
+// hostContact describes the last heartbeat of a host.
+type hostContact struct {
+	lastHeartbeat time.Time
+	// aliveSince is the start of the current series of heartbeats without a
+	// restart or a gap longer than HostTimeout.
+	aliveSince  time.Time
 	incarnation uint64
 	leaving     bool
 }
 
-func (h hostSeen) next(now time.Time, r *pb.HeartbeatRequest, alive time.Duration) hostSeen {
-	steady := h.steadySince
-	if h.incarnation != r.GetIncarnation() || now.Sub(h.at) > alive {
-		steady = now
+func (h hostContact) afterHeartbeat(now time.Time, r *pb.HeartbeatRequest, timeout time.Duration) hostContact {
+	aliveSince := h.aliveSince
+	if h.incarnation != r.GetIncarnation() || now.Sub(h.lastHeartbeat) > timeout {
+		aliveSince = now
 	}
-	return hostSeen{at: now, steadySince: steady, incarnation: r.GetIncarnation(), leaving: r.GetLeaving()}
+	return hostContact{lastHeartbeat: now, aliveSince: aliveSince, incarnation: r.GetIncarnation(), leaving: r.GetLeaving()}
 }
 
-// Run acts as the leader whenever this host leads, until ctx ends.
+// Run acts as the control leader whenever this host leads the replicated log,
+// until ctx ends.
 func (s *Server) Run(ctx context.Context) {
 	ticker := time.NewTicker(s.timing.Tick)
 	defer ticker.Stop()
@@ -79,14 +83,14 @@
 		l = nil
 	}
 	if leads && l == nil {
-		l = s.begin(ctx, term)
+		l = s.startLeadership(ctx, term)
 	}
-	if l != nil && l.acting.CompareAndSwap(false, true) {
-		// In the background, so that the loop sees the loss of leadership
-		// and cancels proposals that cannot succeed.
+	if l != nil && l.roundRunning.CompareAndSwap(false, true) {
+		// The round runs in the background, so that the loop notices a loss
+		// of leadership and cancels proposals that can no longer succeed.
 		l.tasks.Go(func() {
-			defer l.acting.Store(false)
-			l.act()
+			defer l.roundRunning.Store(false)
+			l.runRound()
 		})
 	}
 }
@@ -94,43 +98,44 @@
 func (s *Server) currentLeadership() *leadership {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.current
+	return s.leadership
 }
 
-// begin logs the start of a term. Once that is applied here, every decision
-// of earlier leaders is applied too, and later ones of theirs are refused.
-func (s *Server) begin(running context.Context, term uint64) *leadership {
-	ctx, cancel := context.WithTimeout(running, beginTimeout)
+// startLeadership writes the start of a term to the replicated log. Once this
+// host has applied that entry, it has applied every decision of earlier leaders
+// too, and later commands of theirs are refused.
+func (s *Server) startLeadership(parent context.Context, term uint64) *leadership {
+	ctx, cancel := context.WithTimeout(parent, leaderStartTimeout)
 	defer cancel()
 	cmd := &pb.Command{LeaderTerm: term, Command: &pb.Command_LeaderStarted{LeaderStarted: &pb.LeaderStarted{}}}
 	result, err := s.propose(ctx, cmd)
 	if err != nil || !result.GetApplied() || s.state.LeaderTerm() != term || !s.leads(term) {
-		s.log.Warn("leader start not logged", "term", term, "err", err)
+		s.log.Warn("start of the control leader's term not logged", "term", term, "err", err)
 		return nil
 	}
-	l := s.newLeadership(running, term)
+	l := s.newLeadership(parent, term)
 	s.mu.Lock()
-	s.current = l
+	s.leadership = l
 	s.mu.Unlock()
 	s.metrics.Counter("leaderships_total").Inc(1)
-	s.log.Info("leading", "term", term)
+	s.log.Info("host became control leader", "term", term)
 	return l
 }
 
 func (s *Server) newLeadership(ctx context.Context, term uint64) *leadership {
 	now := s.timing.now()
 	l := &leadership{
-		server:   s,
-		term:     term,
-		since:    now,
-		leases:   newLeaseTable(s.timing.LeaseExpiry, now),
-		hosts:    map[string]hostSeen{},
-		reports:  map[string]failover.Report{},
-		messages: map[string]*pb.UpstreamHealth{},
+		server:         s,
+		term:           term,
+		startedAt:      now,
+		leases:         newLeaseTable(s.timing.LeaseExpiry, now),
+		hostContacts:   map[string]hostContact{},
+		reports:        map[string]failover.Report{},
+		upstreamHealth: map[string]*pb.UpstreamHealth{},
 	}
 	l.ctx, l.cancel = context.WithCancel(ctx)
 	if s.dialer != nil {
-		l.groups = failover.New(failover.Options{
+		l.supervisor = failover.New(failover.Options{
 			Log:         s.failoverLog,
 			Metrics:     s.failoverMetrics,
 			Dialer:      s.dialer,
@@ -144,28 +149,29 @@
 
 func (s *Server) stepDown() {
 	s.mu.Lock()
-	l := s.current
-	s.current = nil
+	l := s.leadership
+	s.leadership = nil
 	s.mu.Unlock()
 	if l == nil {
 		return
 	}
 	l.cancel()
 	l.tasks.Wait()
-	if l.groups != nil {
-		l.groups.Wait()
+	if l.supervisor != nil {
+		l.supervisor.Wait()
 	}
-	s.log.Info("no longer leading", "term", l.term)
+	s.log.Info("host is no longer control leader", "term", l.term)
 }
 
-// leads reports whether this host leads now and in this term.
+// leads reports whether this host leads in the given term now.
 func (s *Server) leads(term uint64) bool {
-	now, ok := s.consensus.Leadership()
-	return ok && now == term
+	currentTerm, ok := s.consensus.Leadership()
+	return ok && currentTerm == term
 }
 
-// leading returns the leadership if this host may answer for it now.
-func (s *Server) leading() (*leadership, bool) {
+// activeLeadership returns the leadership if its term still holds, so that this
+// host may answer calls.
+func (s *Server) activeLeadership() (*leadership, bool) {
 	l := s.currentLeadership()
 	if l == nil || !s.leads(l.term) {
 		return nil, false
@@ -173,16 +179,16 @@
 	return l, true
 }
 
-// act does what is due. It waits only for proposals.
-func (l *leadership) act() {
-	var due conc.WaitGroup
-	due.Go(func() { l.assignOwners() })
-	due.Go(func() { l.removeHosts() })
-	due.Go(func() { l.balance() })
-	if l.groups != nil {
-		l.groups.Tick(l.ctx)
+// runRound does the leader's work that is due. It waits only for proposals.
+func (l *leadership) runRound() {
+	var tasks conc.WaitGroup
+	tasks.Go(func() { l.assignOwners() })
+	tasks.Go(func() { l.removeSilentHosts() })
+	tasks.Go(func() { l.balance() })
+	if l.supervisor != nil {
+		l.supervisor.Tick(l.ctx)
 	}
-	due.Wait()
+	tasks.Wait()
 }
 
 // Leading implements failover.Journal.
@@ -191,8 +197,9 @@
 // Frame implements failover.Journal.
 func (l *leadership) Frame() *controlstate.Frame { return l.server.state.Frame() }
 
-// Propose implements failover.Journal. It refuses if the term has ended; the
-// term in the command stops it if the term ends on the way.
+// Propose implements failover.Journal. It fails if the term has ended. If the
+// term ends during the proposal and a later leader has logged its start before
+// the command, the state machine refuses the command by its LeaderTerm.
 func (l *leadership) Propose(ctx context.Context, cmd *pb.Command) (bool, error) {
 	if !l.Leading() {
 		return false, &controlclient.Unavailable{Detail: "this host leads no longer"}
--- a/control/leases.go
+++ b/control/leases.go
@@ -7,14 +7,14 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// leaseTable is the leader's memory of renewals. It decides when an upstream
-// may get a new owner. A renewal is refused once a new owner may have been
-// chosen, so two hosts never hold a lease on one upstream.
+// leaseTable records the leases that the leader has renewed, and decides when
+// an upstream may get a new owner. A renewal is refused once a new owner may
+// have been chosen, so two hosts never hold a lease on one upstream.
 type leaseTable struct {
 	expiry time.Duration
-	// since is when this leader began. Leases of earlier leaders run out
-	// within one expiry of it.
-	since time.Time
+	// leaderStartedAt is when this leader's term began. Leases that earlier
+	// leaders have renewed end within one expiry of it.
+	leaderStartedAt time.Time
 
 	// mu guards entries.
 	mu      sync.Mutex
@@ -29,8 +29,8 @@
 	stopped bool
 }
 
-func newLeaseTable(expiry time.Duration, since time.Time) *leaseTable {
-	return &leaseTable{expiry: expiry, since: since, entries: map[string]lease{}}
+func newLeaseTable(expiry time.Duration, leaderStartedAt time.Time) *leaseTable {
+	return &leaseTable{expiry: expiry, leaderStartedAt: leaderStartedAt, entries: map[string]lease{}}
 }
 
 // renew extends the lease of u's owner if it is still in force.
@@ -39,7 +39,7 @@
 	defer t.mu.Unlock()
 	e, known := t.entries[u.GetName()]
 	if !known {
-		e = lease{epoch: u.GetOwnerEpoch(), until: t.since.Add(t.expiry)}
+		e = lease{epoch: u.GetOwnerEpoch(), until: t.leaderStartedAt.Add(t.expiry)}
 	}
 	if e.epoch != u.GetOwnerEpoch() || e.released || e.stopped || !now.Before(e.until) {
 		return false
@@ -49,14 +49,14 @@
 	return true
 }
 
-// stop ends the renewals of u, so that another host can own it once the lease
-// has run out or is released.
+// stop ends the renewals of u's lease, so that another host can own u once the
+// lease has expired or is released.
 func (t *leaseTable) stop(u *pb.Upstream) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, known := t.entries[u.GetName()]
 	if !known {
-		e = lease{epoch: u.GetOwnerEpoch(), until: t.since.Add(t.expiry)}
+		e = lease{epoch: u.GetOwnerEpoch(), until: t.leaderStartedAt.Add(t.expiry)}
 	}
 	if e.epoch != u.GetOwnerEpoch() {
 		return
@@ -65,7 +65,7 @@
 	t.entries[u.GetName()] = e
 }
 
-// isStopped reports whether stop was called for u's present epoch.
+// isStopped reports whether stop was called for u's current epoch.
 func (t *leaseTable) isStopped(u *pb.Upstream) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,7 +73,7 @@
 	return e.stopped && e.epoch == u.GetOwnerEpoch()
 }
 
-// release ends the lease at the request of the owner, who no longer uses it.
+// release ends the lease at the request of the owner, which no longer uses it.
 func (t *leaseTable) release(u *pb.Upstream) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,19 +87,20 @@
 func (t *leaseTable) free(u *pb.Upstream, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.isFree(u, now)
+	return t.freeLocked(u, now)
 }
 
-func (t *leaseTable) isFree(u *pb.Upstream, now time.Time) bool {
+// freeLocked is free for callers that hold t.mu.
+func (t *leaseTable) freeLocked(u *pb.Upstream, now time.Time) bool {
 	if u.GetOwnerEpoch() == 0 {
 		return true
 	}
 	e, known := t.entries[u.GetName()]
 	switch {
 	case !known:
-		return !now.Before(t.since.Add(t.expiry))
+		return !now.Before(t.leaderStartedAt.Add(t.expiry))
 	case e.epoch > u.GetOwnerEpoch():
-		// A new epoch was proposed before, and its outcome is not known.
+		// A new epoch was proposed earlier, and the outcome is unknown.
 		return true
 	case e.released && e.epoch == u.GetOwnerEpoch():
 		return true
@@ -107,12 +108,13 @@
 	return !now.Before(e.until)
 }
 
-// reserve keeps u for a new owner under the next epoch, if it is free. From
-// then on the old epoch is never renewed, even if the proposal fails.
+// reserve reserves u for a new owner under the next epoch, if it is free. The
+// lease of the old epoch is never renewed after that, even if the proposal of
+// the new owner fails.
 func (t *leaseTable) reserve(u *pb.Upstream, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.isFree(u, now) {
+	if !t.freeLocked(u, now) {
 		return false
 	}
 	t.entries[u.GetName()] = lease{epoch: u.GetOwnerEpoch() + 1, until: now.Add(t.expiry)}
--- a/control/log_test.go
+++ b/control/log_test.go
@@ -22,15 +22,16 @@
 
 // memoryLog is one node's consensus.Log.
 type memoryLog struct {
-	cluster *memoryCluster
-	name    string
-	address string
-	state   *controlstate.State
-	applied uint64
-	cut     bool
-	// checks is how often Leadership still holds; negative for no limit.
-	checks  atomic.Int64
-	changed chan struct{}
+	cluster  *memoryCluster
+	name     string
+	address  string
+	state    *controlstate.State
+	applied  uint64
+	isolated bool
+	// leadershipChecks is how many more calls of Leadership may report that
+	// this node leads.
+	leadershipChecks atomic.Int64
+	changed          chan struct{}
 }
 
 var _ consensus.Log = (*memoryLog)(nil)
@@ -39,7 +40,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := &memoryLog{cluster: c, name: name, address: address, state: state, changed: make(chan struct{})}
-	n.checks.Store(math.MaxInt64)
+	n.leadershipChecks.Store(math.MaxInt64)
 	c.nodes = append(c.nodes, n)
 	return n
 }
@@ -52,11 +53,11 @@
 	c.leader = n
 }
 
-// cutOff separates a node from the others, or joins it again.
-func (c *memoryCluster) cutOff(n *memoryLog, cut bool) {
+// setIsolated cuts a node off from the others, or connects it again.
+func (c *memoryCluster) setIsolated(n *memoryLog, isolated bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n.cut = cut
+	n.isolated = isolated
 	c.replicate()
 }
 
@@ -68,7 +69,7 @@
 
 func (c *memoryCluster) replicate() {
 	for _, n := range c.nodes {
-		if n.cut {
+		if n.isolated {
 			continue
 		}
 		for n.applied < uint64(len(c.entries)) {
@@ -84,7 +85,7 @@
 	c := n.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leader == nil || n.cut || c.leader.cut {
+	if c.leader == nil || n.isolated || c.leader.isolated {
 		return nil, &controlclient.Unavailable{Detail: "no quorum"}
 	}
 	c.entries = append(c.entries, command)
@@ -102,7 +103,7 @@
 	c := n.cluster
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leader == nil || n.cut || c.leader.cut {
+	if c.leader == nil || n.isolated || c.leader.isolated {
 		return 0, &controlclient.Unavailable{Detail: "no quorum"}
 	}
 	return n.applied, nil
@@ -111,7 +112,7 @@
 func (n *memoryLog) Leadership() (uint64, bool) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
-	return n.cluster.term, n.checks.Add(-1) >= 0 && n.cluster.leader == n && !n.cut
+	return n.cluster.term, n.leadershipChecks.Add(-1) >= 0 && n.cluster.leader == n && !n.isolated
 }
 
 func (n *memoryLog) Leader() (string, string, bool) {
--- a/control/server.go
+++ b/control/server.go
@@ -1,7 +1,7 @@
-// Package control is the service of a control host: announcements of
-// upstreams, heartbeats and leases of proxies, the Watch stream and operators'
-// changes. The host that leads the replicated log also assigns owners and
-// drives changes of primary.
+// Package control implements ControlService, which package daemon serves on
+// each control host: announcements of upstreams, heartbeats and leases of
+// proxies, the Watch stream and operators' changes. The host that leads the
+// replicated log also assigns owners to upstreams and changes their primaries.
 package control
 
 import (
@@ -24,21 +24,22 @@
 	"lovageslip/upstream"
 )
 
-// Options configures a Server.
+// Options holds the dependencies of a Server and how it runs.
 type Options struct {
 	Log     *slog.Logger
 	Metrics tally.Scope
 	// Name is this host's name.
 	Name string
-	// Consensus is the replicated log; State is what it applies to.
+	// Consensus is the replicated log; State is the state machine that
+	// applies its entries.
 	Consensus consensus.Log
 	State     *controlstate.State
-	// Dialer reaches upstreams for changes of primary. Without it the host
-	// changes no primary.
+	// Dialer connects to upstreams for changes of primary. If it is nil, the
+	// host changes no primary.
 	Dialer upstream.Dialer
 	// HTTPClient reaches other control hosts; NewHTTPClient if nil.
 	HTTPClient connect.HTTPClient
-	// Timing replaces the default times, for tests; zero fields keep them.
+	// Timing overrides the default durations in tests; zero fields keep them.
 	Timing Timing
 }
 
@@ -53,15 +54,16 @@
 	client    connect.HTTPClient
 	timing    Timing
 	deltas    deltaCache
-	// failoverLog and failoverMetrics go to the part that this host drives.
+	// failoverLog and failoverMetrics are passed to the failover supervisor
+	// of each leadership.
 	failoverLog     *slog.Logger
 	failoverMetrics tally.Scope
 	wake            chan struct{}
 
-	// mu guards current and peers.
-	mu      sync.Mutex
-	current *leadership // nil unless this host acts as leader
-	peers   map[string]lovageslipv1connect.ControlServiceClient
+	// mu guards leadership and peers.
+	mu         sync.Mutex
+	leadership *leadership // nil unless this host acts as leader
+	peers      map[string]lovageslipv1connect.ControlServiceClient
 }
 
 // New returns a server. Run must be called for it to act as leader.
@@ -93,7 +95,8 @@
 	return lovageslipv1connect.NewControlServiceHandler(s)
 }
 
-// propose logs a command and decodes the result of its application.
+// propose appends a command to the replicated log and returns the result that
+// applying it had.
 func (s *Server) propose(ctx context.Context, cmd *pb.Command) (*pb.CommandResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timing.ProposeTimeout)
 	defer cancel()
@@ -110,7 +113,8 @@
 	return controlstate.DecodeResult(result), nil
 }
 
-// Wake makes the leader loop run now, for example after leadership has changed.
+// Wake makes the leader loop run at once instead of at its next tick, for
+// example after the leadership has changed.
 func (s *Server) Wake() {
 	select {
 	case s.wake <- struct{}{}:
--- a/control/status.go
+++ b/control/status.go
@@ -13,7 +13,7 @@
 
 // Status describes the system as the leader sees it.
 func (s *Server) Status(ctx context.Context, r *connect.Request[pb.StatusRequest]) (*connect.Response[pb.StatusResponse], error) {
-	return answer(ctx, s, r, s.status, lovageslipv1connect.ControlServiceClient.Status)
+	return answerOrForward(ctx, s, r, s.status, lovageslipv1connect.ControlServiceClient.Status)
 }
 
 func (s *Server) status(ctx context.Context, l *leadership, _ *pb.StatusRequest) (*pb.StatusResponse, error) {
@@ -39,8 +39,8 @@
 func (l *leadership) health() []*pb.UpstreamHealth {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	health := make([]*pb.UpstreamHealth, 0, len(l.messages))
-	for _, h := range l.messages {
+	health := make([]*pb.UpstreamHealth, 0, len(l.upstreamHealth))
+	for _, h := range l.upstreamHealth {
 		health = append(health, h)
 	}
 	slices.SortFunc(health, func(a, b *pb.UpstreamHealth) int { return strings.Compare(a.GetUpstream(), b.GetUpstream()) })
--- a/control/timing.go
+++ b/control/timing.go
@@ -2,70 +2,75 @@
 
 import "time"
 
-// Times of the control leader.
+// Durations of the control leader.
 const (
-	// leaseDuration is how long an owner may use its upstreams after it sent
-	// the renewed heartbeat.
+	// leaseDuration is how long an owner may use its upstreams, counted from
+	// when it sent the heartbeat that renewed the lease.
 	leaseDuration = 3 * time.Second
-	// leaseExpiry is how long the leader waits after the last renewal. It is
-	// a tenth longer, because clocks may drift apart by up to that.
+	// leaseExpiry is how long after the last renewal the leader waits before
+	// it assigns a new owner. It is a tenth longer than leaseDuration,
+	// because clocks may drift apart by up to a tenth.
 	leaseExpiry = 3300 * time.Millisecond
-	// tickInterval bounds how late the leader notices a due action.
+	// tickInterval bounds how late the leader notices that work is due.
 	tickInterval = 50 * time.Millisecond
-	// hostAlive is three heartbeats: a host silent for longer gets no
-	// upstreams.
-	hostAlive = 1500 * time.Millisecond
-	// hostSettle is how long a new leader waits for heartbeats before it
-	// gives upstreams their first owner, so that they are spread out.
-	hostSettle = time.Second
-	// hostRemoval is how long a host may be silent before its registration
-	// is removed.
-	hostRemoval = time.Minute
-	// hostSteady is how long a host must have been alive to be given an
-	// upstream of a host that works.
-	hostSteady = 30 * time.Second
-	// balanceInterval bounds how often an upstream is moved between hosts
-	// that work, because each move interrupts it for some milliseconds.
+	// hostTimeout is three heartbeat intervals: a host without a heartbeat
+	// for longer is assigned no upstreams.
+	hostTimeout = 1500 * time.Millisecond
+	// firstAssignDelay is how long a new leader collects heartbeats before it
+	// assigns upstreams their first owner, so that the upstreams are spread
+	// over all hosts.
+	firstAssignDelay = time.Second
+	// hostRemovalDelay is how long a host may send no heartbeat before its
+	// registration is removed.
+	hostRemovalDelay = time.Minute
+	// hostStableTime is how long two hosts must have been alive without a
+	// break before an upstream is moved between them.
+	hostStableTime = 30 * time.Second
+	// balanceInterval is the minimum time between moves of upstreams between
+	// working hosts, because each move interrupts the upstream for some
+	// milliseconds.
 	balanceInterval = time.Second
-	// watchInterval is how often a Watch stream without changes says so.
+	// watchInterval is how often a Watch stream without changes repeats the
+	// current version.
 	watchInterval = 500 * time.Millisecond
-	// proposeTimeout is longer than an election, so that a proposal made
-	// during one may still succeed.
+	// proposeTimeout is longer than an election takes, so that a proposal
+	// made during an election may still succeed.
 	proposeTimeout = 2 * time.Second
-	// beginTimeout is short, because the loop cannot see the loss of its
-	// leadership meanwhile. Logging the start again is harmless.
-	beginTimeout = 500 * time.Millisecond
-	// forwardTimeout bounds a call that is passed on to the leader.
+	// leaderStartTimeout is short, because the leader loop cannot notice a
+	// loss of leadership while it waits for the log. Logging the start of a
+	// term twice is harmless.
+	leaderStartTimeout = 500 * time.Millisecond
+	// forwardTimeout bounds a call that is forwarded to the leader.
 	forwardTimeout = 3 * time.Second
 )
 
-// Timing holds the times that tests shorten. Zero fields mean the defaults.
+// Timing holds the durations that tests shorten. Zero fields mean the defaults.
 type Timing struct {
-	Lease          time.Duration
-	LeaseExpiry    time.Duration
-	Tick           time.Duration
-	HostAlive      time.Duration
-	HostSettle     time.Duration
-	HostRemoval    time.Duration
-	HostSteady     time.Duration
-	WatchInterval  time.Duration
-	ProposeTimeout time.Duration
-	ForwardTimeout time.Duration
-	// Now replaces the clock.
+	Lease            time.Duration
+	LeaseExpiry      time.Duration
+	Tick             time.Duration
+	HostTimeout      time.Duration
+	FirstAssignDelay time.Duration
+	HostRemovalDelay time.Duration
+	HostStableTime   time.Duration
+	WatchInterval    time.Duration
+	ProposeTimeout   time.Duration
+	ForwardTimeout   time.Duration
+	// Now replaces the clock; time.Now if nil.
 	Now func() time.Time
 }
 
 func (t Timing) withDefaults() Timing {
-	or(&t.Lease, leaseDuration)
-	or(&t.LeaseExpiry, leaseExpiry)
-	or(&t.Tick, tickInterval)
-	or(&t.HostAlive, hostAlive)
-	or(&t.HostSettle, hostSettle)
-	or(&t.HostRemoval, hostRemoval)
-	or(&t.HostSteady, hostSteady)
-	or(&t.WatchInterval, watchInterval)
-	or(&t.ProposeTimeout, proposeTimeout)
-	or(&t.ForwardTimeout, forwardTimeout)
+	setDefault(&t.Lease, leaseDuration)
+	setDefault(&t.LeaseExpiry, leaseExpiry)
+	setDefault(&t.Tick, tickInterval)
+	setDefault(&t.HostTimeout, hostTimeout)
+	setDefault(&t.FirstAssignDelay, firstAssignDelay)
+	setDefault(&t.HostRemovalDelay, hostRemovalDelay)
+	setDefault(&t.HostStableTime, hostStableTime)
+	setDefault(&t.WatchInterval, watchInterval)
+	setDefault(&t.ProposeTimeout, proposeTimeout)
+	setDefault(&t.ForwardTimeout, forwardTimeout)
 	if t.Now == nil {
 		t.Now = time.Now
 	}
@@ -74,8 +79,8 @@
 
 func (t Timing) now() time.Time { return t.Now() }
 
-func or(d *time.Duration, fallback time.Duration) {
-	if *d == 0 {
-		*d = fallback
+func setDefault(value *time.Duration, fallback time.Duration) {
+	if *value == 0 {
+		*value = fallback
 	}
 }
--- a/control/watch.go
+++ b/control/watch.go
@@ -13,11 +13,12 @@
 	"lovageslip/internal/pause"
 )
 
-// watchSpacing is the least time between two messages with changes, so that a
-// burst of changes is sent as one message.
-const watchSpacing = 20 * time.Millisecond
+// minWatchMessageInterval is the minimum time between two messages with
+// changes, so that a burst of changes is sent as one message.
+const minWatchMessageInterval = 20 * time.Millisecond
 
-// Watch streams the state of this host after a quorum has confirmed it.
+// Watch streams the state of this host and its changes. It starts after a
+// quorum read, so that the first message is no older than the call.
 func (s *Server) Watch(ctx context.Context, r *connect.Request[pb.WatchRequest], stream *connect.ServerStream[pb.WatchResponse]) error {
 	if _, err := s.consensus.ReadIndex(ctx); err != nil {
 		return controlclient.ToConnect(err)
@@ -30,19 +31,19 @@
 	if err := stream.Send(firstMessage(frame, r.Msg.GetVersion())); err != nil {
 		return err
 	}
-	return s.follow(ctx, frame, stream.Send)
+	return s.streamChanges(ctx, frame, stream.Send)
 }
 
-// firstMessage spares a caller that holds this version already the whole
-// state: equal versions mean equal states.
-func firstMessage(frame *controlstate.Frame, held uint64) *pb.WatchResponse {
-	if held != 0 && held == frame.Version {
+// firstMessage returns the whole state, or just the version for a caller that
+// already holds it: equal versions mean equal states.
+func firstMessage(frame *controlstate.Frame, callerVersion uint64) *pb.WatchResponse {
+	if callerVersion != 0 && callerVersion == frame.Version {
 		return frame.Since(frame)
 	}
 	return frame.Whole()
 }
 
-func (s *Server) follow(ctx context.Context, sent *controlstate.Frame, send func(*pb.WatchResponse) error) error {
+func (s *Server) streamChanges(ctx context.Context, sent *controlstate.Frame, send func(*pb.WatchResponse) error) error {
 	ticker := time.NewTicker(s.timing.WatchInterval)
 	defer ticker.Stop()
 	for {
@@ -53,7 +54,7 @@
 				return err
 			}
 			sent = next
-			if !pause.For(ctx, watchSpacing) {
+			if !pause.For(ctx, minWatchMessageInterval) {
 				return ctx.Err()
 			}
 			continue
@@ -70,7 +71,8 @@
 	}
 }
 
-// deltaCache shares a difference among the streams that are at one version.
+// deltaCache keeps the latest difference between two versions, so that it is
+// built once for all streams that are at the same version.
 type deltaCache struct {
 	// mu guards the fields below.
 	mu       sync.Mutex
--- a/member/agent.go
+++ b/member/agent.go
@@ -1,6 +1,7 @@
-// Package member is the proxy's side of control. An Agent keeps the proxy's
-// leases by heartbeats, holds the view of the registry that a Watch stream
-// brings, and passes announcements of upstreams on to control.
+// Package member is the client side of ControlService on a proxy host. An Agent
+// renews the proxy's leases on upstreams by heartbeats, keeps the view of the
+// registry up to date through a Watch stream, and forwards announcements of
+// upstreams to a control host. Package daemon runs it.
 package member
 
 import (
@@ -29,35 +30,38 @@
 	heartbeatInterval = 500 * time.Millisecond
 	// heartbeatTimeout lets two control hosts be tried within a lease.
 	heartbeatTimeout = time.Second
-	// silenceLimit is four times the interval at which a control host sends
-	// on a Watch stream without changes.
-	silenceLimit = 2 * time.Second
-	// behindLimit is how long a stream may be behind the leader's version.
-	behindLimit = time.Second
-	// retryDelay is the mean pause after the first failed call. It doubles
+	// streamTimeout is how long a Watch stream may deliver no message. It is
+	// four times the interval at which a control host sends on a stream
+	// without changes.
+	streamTimeout = 2 * time.Second
+	// maxBehind is how long the view may be older than the version that the
+	// leader required.
+	maxBehind = time.Second
+	// retryDelay is the mean backoff after the first failed call. It doubles
 	// with each further failure up to maxRetryFactor times, and is
-	// randomized, so that proxies do not return to a control host at once.
+	// randomized, so that proxies do not all retry at the same moment.
 	retryDelay     = 100 * time.Millisecond
 	maxRetryFactor = 4
 )
 
-// HealthSource supplies reports on the upstreams that this host owns.
+// HealthSource supplies the health reports that heartbeats carry, on the
+// upstreams that this host owns.
 type HealthSource interface {
 	// Health returns the current reports. It must be safe for concurrent
 	// use and must not block.
 	Health() []*pb.UpstreamHealth
 }
 
-// Timing holds the times that tests shorten. Zero fields mean the defaults.
+// Timing holds the durations that tests shorten. Zero fields mean the defaults.
 type Timing struct {
 	Heartbeat        time.Duration
 	HeartbeatTimeout time.Duration
-	Silence          time.Duration
-	Behind           time.Duration
-	Retry            time.Duration
+	StreamTimeout    time.Duration
+	MaxBehind        time.Duration
+	RetryDelay       time.Duration
 }
 
-// Options configures an Agent.
+// Options says which host an Agent represents and which control hosts it calls.
 type Options struct {
 	Log     *slog.Logger
 	Metrics tally.Scope
@@ -68,12 +72,13 @@
 	Name       string
 	Address    string
 	DataCentre string
-	// Health may be nil.
+	// Health supplies the reports of heartbeats; nil for none.
 	Health HealthSource
-	// Announced is told of each announcement that reaches this host, before
-	// control answers, so that an owner acts on a leaving upstream at once.
-	// It may be nil and must not block.
-	Announced func(*pb.AnnounceRequest)
+	// OnAnnouncement is called with each announcement that reaches this host,
+	// before it is forwarded to a control host, so that the owner of an
+	// upstream that is leaving can act at once. It may be nil and must not
+	// block.
+	OnAnnouncement func(*pb.AnnounceRequest)
 	// HTTPClient reaches control hosts; controlclient.NewHTTPClient if nil.
 	HTTPClient connect.HTTPClient
 	Timing     Timing
@@ -82,53 +87,57 @@
 // Agent implements registry.Directory and registry.Leases. It is safe for
 // concurrent use.
 type Agent struct {
-	log         *slog.Logger
-	metrics     tally.Scope
-	options     Options
-	timing      Timing
-	incarnation uint64
-	clients     []lovageslipv1connect.ControlServiceClient
-	nudged      chan struct{}
+	log          *slog.Logger
+	metrics      tally.Scope
+	options      Options
+	timing       Timing
+	incarnation  uint64
+	clients      []lovageslipv1connect.ControlServiceClient
+	heartbeatDue chan struct{}
 
 	// mu guards every field below.
 	mu      sync.Mutex
 	frame   *controlstate.Frame // nil before the first confirmed state
 	changed chan struct{}
 	leases  map[string]registry.Lease
-	// required is the version that the last renewal named, and behindSince
-	// since when the view has been older than that.
-	required    uint64
-	behindSince time.Time
-	// pending are renewals that do not count yet, because the view is older
-	// than the version that they require.
-	pending         map[string]registry.Lease
-	pendingRequired uint64
-	// handedOver are epochs that were given up at the request of control.
-	handedOver map[string]uint64
-	releasing  bool
-	// currentUntil is one lease after the sending of the last heartbeat whose
-	// version the view has; pendingUntil is the same for the last answered one.
-	currentUntil time.Time
-	pendingUntil time.Time
+	// requiredVersion is the highest version that a heartbeat response has
+	// required. behindSince is since when the view has been older than that;
+	// zero if it is not.
+	requiredVersion uint64
+	behindSince     time.Time
+	// pendingLeases are renewals that are not in force yet, because the view
+	// is older than pendingVersion, which they require.
+	pendingLeases  map[string]registry.Lease
+	pendingVersion uint64
+	// handedOverEpochs holds, by upstream, the epoch whose lease this host
+	// has given up at the request of the leader.
+	handedOverEpochs map[string]uint64
+	releasing        bool
+	// viewCurrentUntil is one lease after this host sent the last heartbeat
+	// whose required version the view has reached. pendingCurrentUntil is
+	// the same for the last heartbeat that was answered.
+	viewCurrentUntil    time.Time
+	pendingCurrentUntil time.Time
 }
 
-// New returns an agent. Run must be called for it to do anything.
+// New returns an agent. Run must be called for it to renew leases and to get a
+// view.
 func New(o Options) *Agent {
 	client := o.HTTPClient
 	if client == nil {
 		client = controlclient.NewHTTPClient()
 	}
 	a := &Agent{
-		log:         logging.For(o.Log, "member"),
-		metrics:     metrics.OrNoop(o.Metrics).SubScope("member"),
-		options:     o,
-		timing:      o.Timing.withDefaults(),
-		incarnation: rand.Uint64() | 1,
-		nudged:      make(chan struct{}, 1),
-		changed:     make(chan struct{}),
-		leases:      map[string]registry.Lease{},
-		pending:     map[string]registry.Lease{},
-		handedOver:  map[string]uint64{},
+		log:              logging.For(o.Log, "member"),
+		metrics:          metrics.OrNoop(o.Metrics).SubScope("member"),
+		options:          o,
+		timing:           o.Timing.withDefaults(),
+		incarnation:      rand.Uint64() | 1,
+		heartbeatDue:     make(chan struct{}, 1),
+		changed:          make(chan struct{}),
+		leases:           map[string]registry.Lease{},
+		pendingLeases:    map[string]registry.Lease{},
+		handedOverEpochs: map[string]uint64{},
 	}
 	for _, address := range o.Control {
 		a.clients = append(a.clients, controlclient.New(client, address))
@@ -137,17 +146,17 @@
 }
 
 func (t Timing) withDefaults() Timing {
-	or(&t.Heartbeat, heartbeatInterval)
-	or(&t.HeartbeatTimeout, heartbeatTimeout)
-	or(&t.Silence, silenceLimit)
-	or(&t.Behind, behindLimit)
-	or(&t.Retry, retryDelay)
+	setDefault(&t.Heartbeat, heartbeatInterval)
+	setDefault(&t.HeartbeatTimeout, heartbeatTimeout)
+	setDefault(&t.StreamTimeout, streamTimeout)
+	setDefault(&t.MaxBehind, maxBehind)
+	setDefault(&t.RetryDelay, retryDelay)
 	return t
 }
 
-func or(d *time.Duration, fallback time.Duration) {
-	if *d == 0 {
-		*d = fallback
+func setDefault(value *time.Duration, fallback time.Duration) {
+	if *value == 0 {
+		*value = fallback
 	}
 }
 
@@ -159,8 +168,8 @@
 		return
 	}
 	var tasks conc.WaitGroup
-	tasks.Go(func() { a.heartbeats(ctx) })
-	tasks.Go(func() { a.watches(ctx) })
+	tasks.Go(func() { a.runHeartbeats(ctx) })
+	tasks.Go(func() { a.runWatches(ctx) })
 	tasks.Wait()
 }
 
@@ -182,24 +191,26 @@
 	return a.changed
 }
 
-// Nudge sends the next heartbeat now, for example because an owned upstream
-// has become unreachable.
-func (a *Agent) Nudge() {
+// SendHeartbeatNow makes Run send the next heartbeat at once instead of at the
+// next interval, for example because an owned upstream has become unreachable.
+func (a *Agent) SendHeartbeatNow() {
 	select {
-	case a.nudged <- struct{}{}:
+	case a.heartbeatDue <- struct{}{}:
 	default:
 	}
 }
 
-// pause waits for a random time that grows with the failures in a row.
-func (a *Agent) pause(ctx context.Context, failures int) {
-	mean := a.timing.Retry * time.Duration(min(1<<min(failures-1, 16), maxRetryFactor))
-	pause.For(ctx, mean/2+rand.N(mean))
+// backOff waits for a random time that grows with the number of consecutive
+// failures.
+func (a *Agent) backOff(ctx context.Context, failures int) {
+	meanDelay := a.timing.RetryDelay * time.Duration(min(1<<min(failures-1, 16), maxRetryFactor))
+	pause.For(ctx, meanDelay/2+rand.N(meanDelay))
 }
 
 func (a *Agent) client(i int) lovageslipv1connect.ControlServiceClient {
 	return a.clients[i%len(a.clients)]
 }
 
-// firstHost spreads proxies over the control hosts.
-func (a *Agent) firstHost() int { return rand.IntN(max(1, len(a.clients))) }
+// randomHost returns the index of a random control host, so that proxies spread
+// over the control hosts.
+func (a *Agent) randomHost() int { return rand.IntN(max(1, len(a.clients))) }
--- a/member/agent_test.go
+++ b/member/agent_test.go
@@ -22,7 +22,7 @@
 
 const shortLease = 300 * time.Millisecond
 
-// fakeControl is a control host that a test scripts.
+// fakeControl is a control host whose answers and messages a test sets.
 type fakeControl struct {
 	lovageslipv1connect.UnimplementedControlServiceHandler
 	address string
@@ -31,18 +31,19 @@
 	heartbeats []*pb.HeartbeatRequest
 	watches    []*pb.WatchRequest
 	announced  []*pb.AnnounceRequest
-	// answer is nil for a host that is cut off.
+	// answer is the response to heartbeats; nil for a host that is cut off
+	// from its quorum, which fails all calls.
 	answer *pb.HeartbeatResponse
 	// messages are sent on each Watch stream, which then stays open.
-	messages []*pb.WatchResponse
-	alive    bool // keeps sending on open streams
+	messages     []*pb.WatchResponse
+	keepsSending bool // repeats the last version on open streams
 }
 
-func startFake(t *testing.T, messages ...*pb.WatchResponse) *fakeControl {
+func startFakeControl(t *testing.T, messages ...*pb.WatchResponse) *fakeControl {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	f := &fakeControl{address: listener.Addr().String(), messages: messages, alive: true}
+	f := &fakeControl{address: listener.Addr().String(), messages: messages, keepsSending: true}
 	mux := http.NewServeMux()
 	mux.Handle(lovageslipv1connect.NewControlServiceHandler(f))
 	protocols := new(http.Protocols)
@@ -53,13 +54,13 @@
 	return f
 }
 
-func (f *fakeControl) edit(change func(*fakeControl)) {
+func (f *fakeControl) update(change func(*fakeControl)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(f)
 }
 
-func (f *fakeControl) count() (heartbeats, watches int) {
+func (f *fakeControl) requestCounts() (heartbeats, watches int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.heartbeats), len(f.watches)
@@ -92,7 +93,7 @@
 	sent := 0
 	for ctx.Err() == nil {
 		f.mu.Lock()
-		messages, alive := f.messages[min(sent, len(f.messages)):], f.alive
+		messages, alive := f.messages[min(sent, len(f.messages)):], f.keepsSending
 		f.mu.Unlock()
 		for _, m := range messages {
 			if err := stream.Send(m); err != nil {
@@ -101,7 +102,7 @@
 			sent++
 		}
 		if sent > 0 && alive {
-			last := f.last()
+			last := f.lastMessage()
 			if err := stream.Send(&pb.WatchResponse{Version: last.GetVersion(), ConfigVersion: last.GetConfigVersion()}); err != nil {
 				return err
 			}
@@ -111,14 +112,14 @@
 	return nil
 }
 
-func (f *fakeControl) last() *pb.WatchResponse {
+func (f *fakeControl) lastMessage() *pb.WatchResponse {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.messages[len(f.messages)-1]
 }
 
-// whole is a state in which p1 owns u1.
-func whole(version uint64) *pb.WatchResponse {
+// wholeState is a state in which p1 owns u1.
+func wholeState(version uint64) *pb.WatchResponse {
 	return &pb.WatchResponse{
 		Version: version, ConfigVersion: version, Whole: true,
 		Upstreams: []*pb.Upstream{{Name: "u1", Database: "shop", Owner: "p1", OwnerEpoch: 3}},
@@ -143,7 +144,7 @@
 		Control: addresses, Name: "p1", Address: "127.0.0.1:7000", DataCentre: "luzon", HTTPClient: httpClient,
 		Timing: member.Timing{
 			Heartbeat: 20 * time.Millisecond, HeartbeatTimeout: 200 * time.Millisecond,
-			Silence: 200 * time.Millisecond, Behind: 200 * time.Millisecond, Retry: 10 * time.Millisecond,
+			StreamTimeout: 200 * time.Millisecond, MaxBehind: 200 * time.Millisecond, RetryDelay: 10 * time.Millisecond,
 		},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -163,99 +164,101 @@
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(time.Millisecond))
 }
 
-func holds(a *member.Agent) func() bool {
+func holdsLease(a *member.Agent) func() bool {
 	return func() bool { _, ok := a.Lease("u1"); return ok }
 }
 
-// A host that is cut off from control must lose its leases by its own clock.
+// A host that gets no answers from control must end its leases by its own clock.
 func TestAgentLosesItsLeaseWhenCutOff(t *testing.T) {
-	f := startFake(t, whole(5))
+	f := startFakeControl(t, wholeState(5))
 	f.answer = renewal(5)
 	agent := startAgent(t, f)
-	waitFor(t, "lease", holds(agent))
-	f.edit(func(f *fakeControl) { f.answer = nil })
+	waitFor(t, "lease", holdsLease(agent))
+	f.update(func(f *fakeControl) { f.answer = nil })
 	cut := time.Now()
-	waitFor(t, "loss of the lease", func() bool { return !holds(agent)() })
+	waitFor(t, "loss of the lease", func() bool { return !holdsLease(agent)() })
 	lease, _ := agent.Lease("u1")
 	assert.Assert(t, lease.Until.Sub(cut) <= shortLease)
 }
 
-// A renewal must not count before the view has the version that it requires:
-// the owner would serve under an old configuration.
+// A renewal must not be in force before the view has reached the version that
+// it requires: the owner would serve under an old configuration.
 func TestRenewalCountsOnlyWithTheRequiredVersion(t *testing.T) {
-	f := startFake(t, whole(5))
+	f := startFakeControl(t, wholeState(5))
 	f.answer = renewal(6)
 	agent := startAgent(t, f)
 	waitFor(t, "view and heartbeat", func() bool { return agent.View() != nil && agent.ConfigVersion() == 6 })
-	assert.Assert(t, !holds(agent)())
-	f.edit(func(f *fakeControl) { f.messages = append(f.messages, &pb.WatchResponse{Version: 6, ConfigVersion: 6}) })
-	waitFor(t, "lease", holds(agent))
+	assert.Assert(t, !holdsLease(agent)())
+	f.update(func(f *fakeControl) { f.messages = append(f.messages, &pb.WatchResponse{Version: 6, ConfigVersion: 6}) })
+	waitFor(t, "lease", holdsLease(agent))
 }
 
-// A control host that is behind must not take the proxy back to an older
-// version when the proxy changes to it.
+// A proxy may change to a control host that is behind. Its view must not go back
+// to the older version of that host.
 func TestViewNeverGoesBackWhenChangingHost(t *testing.T) {
-	current, old := startFake(t, whole(9)), startFake(t, whole(4))
-	current.answer, old.answer = renewal(9), renewal(9)
-	agent := startAgent(t, current, old)
+	upToDate, behind := startFakeControl(t, wholeState(9)), startFakeControl(t, wholeState(4))
+	upToDate.answer, behind.answer = renewal(9), renewal(9)
+	agent := startAgent(t, upToDate, behind)
 	waitFor(t, "current version", func() bool { return agent.View() != nil && agent.View().Version == 9 })
-	current.edit(func(f *fakeControl) { f.alive = false })
-	waitFor(t, "several visits at the old host", func() bool {
+	upToDate.update(func(f *fakeControl) { f.keepsSending = false })
+	waitFor(t, "several streams to the host that is behind", func() bool {
 		assert.Assert(t, agent.View().Version >= 9)
-		_, watches := old.count()
+		_, watches := behind.requestCounts()
 		return watches >= 3
 	})
 	assert.Equal(t, agent.View().Version, uint64(9))
 }
 
-// A stream that stops delivering, on a connection that stays open, must not
-// keep the proxy from changes.
-func TestSilentStreamIsLeft(t *testing.T) {
-	hosts := []*fakeControl{startFake(t, whole(5)), startFake(t, whole(5))}
+// A stream may stop delivering messages while its connection stays open. The
+// proxy must then change to another control host, or it misses changes.
+func TestSilentStreamIsReplaced(t *testing.T) {
+	hosts := []*fakeControl{startFakeControl(t, wholeState(5)), startFakeControl(t, wholeState(5))}
 	for _, h := range hosts {
 		h.answer = renewal(5)
 	}
 	agent := startAgent(t, hosts...)
 	waitFor(t, "view", func() bool { return agent.View() != nil })
-	silent, good := hosts[0], hosts[1]
-	if _, watches := silent.count(); watches == 0 {
-		silent, good = good, silent
+	silent, healthy := hosts[0], hosts[1]
+	if _, watches := silent.requestCounts(); watches == 0 {
+		silent, healthy = healthy, silent
 	}
-	silent.edit(func(f *fakeControl) { f.alive = false })
-	good.edit(func(f *fakeControl) { f.messages = append(f.messages, &pb.WatchResponse{Version: 6, ConfigVersion: 6}) })
+	silent.update(func(f *fakeControl) { f.keepsSending = false })
+	healthy.update(func(f *fakeControl) { f.messages = append(f.messages, &pb.WatchResponse{Version: 6, ConfigVersion: 6}) })
 	waitFor(t, "change", func() bool { return agent.View().Version == 6 })
 }
 
-// A stream that is alive but stays behind what the leader names must be left.
-func TestStreamBehindTheLeaderIsLeft(t *testing.T) {
-	stuck, good := startFake(t, whole(5)), startFake(t, whole(6))
-	stuck.answer, good.answer = renewal(6), renewal(6)
-	agent := startAgent(t, stuck, good)
+// A stream may deliver messages but stay behind the version that the leader
+// requires. The proxy must then change to another control host.
+func TestStreamBehindTheLeaderIsReplaced(t *testing.T) {
+	behind, healthy := startFakeControl(t, wholeState(5)), startFakeControl(t, wholeState(6))
+	behind.answer, healthy.answer = renewal(6), renewal(6)
+	agent := startAgent(t, behind, healthy)
 	waitFor(t, "version of the leader", func() bool { return agent.View() != nil && agent.View().Version == 6 })
 }
 
-// A proxy must not serve before it has a state that a quorum confirmed.
+// A proxy must not serve before it has received a whole state that a quorum has
+// confirmed.
 func TestNoViewBeforeTheFirstWholeState(t *testing.T) {
-	f := startFake(t, &pb.WatchResponse{Version: 5})
+	f := startFakeControl(t, &pb.WatchResponse{Version: 5})
 	f.answer = renewal(5)
 	agent := startAgent(t, f)
-	waitFor(t, "several streams", func() bool { _, watches := f.count(); return watches >= 3 })
+	waitFor(t, "several streams", func() bool { _, watches := f.requestCounts(); return watches >= 3 })
 	assert.Assert(t, agent.View() == nil)
-	assert.Assert(t, !holds(agent)())
+	assert.Assert(t, !holdsLease(agent)())
 }
 
-// After Release nothing may be admitted, even if an answer still renews, and
-// control must learn that the host leaves.
+// After Release no lease may be in force, even if a heartbeat response still
+// renews one, and control must learn that the host is leaving.
 func TestReleaseEndsLeasesForGood(t *testing.T) {
-	f := startFake(t, whole(5))
+	f := startFakeControl(t, wholeState(5))
 	f.answer = renewal(5)
 	agent := startAgent(t, f)
-	waitFor(t, "lease", holds(agent))
+	waitFor(t, "lease", holdsLease(agent))
 	assert.NilError(t, agent.Release(t.Context()))
-	before, _ := f.count()
-	waitFor(t, "more heartbeats", func() bool { n, _ := f.count(); return n > before+2 })
-	assert.Assert(t, !holds(agent)())
-	f.edit(func(f *fakeControl) {
+	before, _ := f.requestCounts()
+	waitFor(t, "more heartbeats", func() bool { n, _ := f.requestCounts(); return n > before+2 })
+	assert.Assert(t, !holdsLease(agent)())
+	f.update(func(f *fakeControl) {
 		assert.Assert(t, f.heartbeats[len(f.heartbeats)-1].GetLeaving())
 		released := 0
 		for _, h := range f.heartbeats {
@@ -265,12 +268,12 @@
 	})
 }
 
-// An upstream may announce itself to any proxy, which must find a control host
-// that works.
+// An upstream may announce itself to any proxy. The proxy must find a working
+// control host to forward the announcement to.
 func TestAnnouncementIsPassedOnToAControlHostThatWorks(t *testing.T) {
-	dead, good := startFake(t, whole(5)), startFake(t, whole(5))
-	good.answer = renewal(5)
-	agent := startAgent(t, dead, good)
+	failing, healthy := startFakeControl(t, wholeState(5)), startFakeControl(t, wholeState(5))
+	healthy.answer = renewal(5)
+	agent := startAgent(t, failing, healthy)
 	path, handler := agent.AnnounceHandler()
 	for range 5 {
 		r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://proxy"+path, strings.NewReader(`{"name":"u1"}`))
@@ -281,5 +284,5 @@
 		assert.Equal(t, recorder.Code, http.StatusOK)
 		assert.Assert(t, strings.Contains(recorder.Body.String(), "7"))
 	}
-	assert.Equal(t, len(good.announced), 5)
+	assert.Equal(t, len(healthy.announced), 5)
 }
--- a/member/announce.go
+++ b/member/announce.go
@@ -11,23 +11,23 @@
 	"lovageslip/gen/lovageslip/v1/lovageslipv1connect"
 )
 
-// Announce passes an upstream's announcement on to control, trying each
-// control host once. A repeated announcement changes nothing more.
+// Announce forwards an upstream's announcement to a control host, trying each
+// of them once. This is safe because a repeated announcement changes nothing.
 func (a *Agent) Announce(ctx context.Context, r *pb.AnnounceRequest) (*pb.AnnounceResponse, error) {
-	var last error = &controlclient.Unavailable{Detail: "no control host is configured"}
-	first := a.firstHost()
+	var lastErr error = &controlclient.Unavailable{Detail: "no control host is configured"}
+	first := a.randomHost()
 	for i := range a.clients {
 		response, err := a.announceTo(ctx, first+i, r)
 		if err == nil {
 			return response, nil
 		}
-		last = controlclient.FromConnect(err)
+		lastErr = controlclient.FromConnect(err)
 		if connect.CodeOf(err) == connect.CodeInvalidArgument || ctx.Err() != nil {
 			break
 		}
 	}
 	a.metrics.Counter("announcements_failed_total").Inc(1)
-	return nil, last
+	return nil, lastErr
 }
 
 func (a *Agent) announceTo(ctx context.Context, host int, r *pb.AnnounceRequest) (*pb.AnnounceResponse, error) {
@@ -44,8 +44,8 @@
 // proxies serve as control hosts do: JSON over HTTP POST or connect.
 func (a *Agent) AnnounceHandler() (string, http.Handler) {
 	serve := func(ctx context.Context, r *connect.Request[pb.AnnounceRequest]) (*connect.Response[pb.AnnounceResponse], error) {
-		if a.options.Announced != nil {
-			a.options.Announced(r.Msg)
+		if a.options.OnAnnouncement != nil {
+			a.options.OnAnnouncement(r.Msg)
 		}
 		response, err := a.Announce(ctx, r.Msg)
 		if err != nil {
--- a/member/lease.go
+++ b/member/lease.go
@@ -11,49 +11,50 @@
 	"lovageslip/registry"
 )
 
-// heartbeats sends a heartbeat at each interval or nudge. After a failure the
-// next one goes to another control host: a repeated heartbeat is harmless.
-func (a *Agent) heartbeats(ctx context.Context) {
+// runHeartbeats sends a heartbeat at each interval and after each call of
+// SendHeartbeatNow. After a failure the next heartbeat goes to another control
+// host; this is safe because a repeated heartbeat is harmless.
+func (a *Agent) runHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(a.timing.Heartbeat)
 	defer ticker.Stop()
 	failures := 0
-	for host := a.firstHost(); ctx.Err() == nil; {
-		if err := a.heartbeat(ctx, host, nil); err != nil {
+	for host := a.randomHost(); ctx.Err() == nil; {
+		if err := a.sendHeartbeat(ctx, host, nil); err != nil {
 			a.metrics.Counter("heartbeats_failed_total").Inc(1)
 			a.log.Debug("heartbeat failed", "err", err)
 			host++
 			failures++
-			a.pause(ctx, failures)
+			a.backOff(ctx, failures)
 			continue
 		}
 		failures = 0
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
-		case <-a.nudged:
+		case <-a.heartbeatDue:
 		}
 	}
 }
 
-func (a *Agent) heartbeat(ctx context.Context, host int, released []*pb.OwnedEpoch) error {
+func (a *Agent) sendHeartbeat(ctx context.Context, host int, released []*pb.OwnedEpoch) error {
 	ctx, cancel := context.WithTimeout(ctx, a.timing.HeartbeatTimeout)
 	defer cancel()
-	request := connect.NewRequest(a.request(released))
+	request := connect.NewRequest(a.heartbeatRequest(released))
 	sent := time.Now()
 	response, err := a.client(host).Heartbeat(ctx, request)
 	if err != nil {
 		return controlclient.FromConnect(err)
 	}
-	a.renew(sent, response.Msg)
+	a.applyHeartbeatResponse(sent, response.Msg)
 	return nil
 }
 
-func (a *Agent) request(released []*pb.OwnedEpoch) *pb.HeartbeatRequest {
+func (a *Agent) heartbeatRequest(released []*pb.OwnedEpoch) *pb.HeartbeatRequest {
 	r := &pb.HeartbeatRequest{
 		Host:        a.options.Name,
 		Address:     a.options.Address,
 		DataCentre:  a.options.DataCentre,
-		Version:     a.heldVersion(),
+		Version:     a.viewVersion(),
 		Released:    released,
 		Incarnation: a.incarnation,
 	}
@@ -63,86 +64,91 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	r.Leaving = a.releasing
-	r.Released = append(r.Released, a.handedOverNow()...)
+	r.Released = append(r.Released, a.epochsToRelease()...)
 	return r
 }
 
-// renew takes the renewals of an answer. They count from the sending of the
-// request, and only once the view has the version that they require.
-func (a *Agent) renew(sent time.Time, r *pb.HeartbeatResponse) {
+// applyHeartbeatResponse stores the renewals of a response. Their leases run
+// from the moment when the request was sent, and are in force only once the
+// view has reached the version that the response requires.
+func (a *Agent) applyHeartbeatResponse(sent time.Time, r *pb.HeartbeatResponse) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.required = max(a.required, r.GetVersion())
+	a.requiredVersion = max(a.requiredVersion, r.GetVersion())
 	until := sent.Add(time.Duration(r.GetLeaseMicros()) * time.Microsecond)
-	a.pendingUntil = until
-	a.pendingRequired = r.GetVersion()
-	defer a.noteBehind()
+	a.pendingCurrentUntil = until
+	a.pendingVersion = r.GetVersion()
+	defer a.updateBehindSince()
 	if a.releasing {
-		a.countPending()
+		a.activatePendingLeases()
 		return
 	}
 	a.handOver(r.GetHandover())
-	a.pending = make(map[string]registry.Lease, len(r.GetRenewed()))
+	a.pendingLeases = make(map[string]registry.Lease, len(r.GetRenewed()))
 	for _, owned := range r.GetRenewed() {
-		a.pending[owned.GetUpstream()] = registry.Lease{Epoch: owned.GetEpoch(), Until: until}
+		a.pendingLeases[owned.GetUpstream()] = registry.Lease{Epoch: owned.GetEpoch(), Until: until}
 	}
-	a.countPending()
+	a.activatePendingLeases()
 }
 
-// handOver gives up single upstreams that another host should own. a.mu is held.
+// handOver ends the leases on the upstreams that the leader wants to move to
+// another host. a.mu is held.
 func (a *Agent) handOver(handover []*pb.OwnedEpoch) {
 	for _, owned := range handover {
-		if a.handedOver[owned.GetUpstream()] == owned.GetEpoch() {
+		if a.handedOverEpochs[owned.GetUpstream()] == owned.GetEpoch() {
 			continue
 		}
 		delete(a.leases, owned.GetUpstream())
-		a.handedOver[owned.GetUpstream()] = owned.GetEpoch()
-		a.Nudge()
+		a.handedOverEpochs[owned.GetUpstream()] = owned.GetEpoch()
+		a.SendHeartbeatNow()
 	}
 }
 
-// handedOverNow names the upstreams that were handed over and that the view
-// still gives to this host. Naming one again is harmless. a.mu is held.
-func (a *Agent) handedOverNow() []*pb.OwnedEpoch {
+// epochsToRelease returns the upstreams that were handed over and of which this
+// host is still the owner in the view. Releasing one twice is harmless. a.mu is
+// held.
+func (a *Agent) epochsToRelease() []*pb.OwnedEpoch {
 	if a.frame == nil {
 		return nil
 	}
 	var released []*pb.OwnedEpoch
 	for _, u := range a.frame.OwnedBy(a.options.Name) {
-		if a.handedOver[u.GetName()] == u.GetOwnerEpoch() {
+		if a.handedOverEpochs[u.GetName()] == u.GetOwnerEpoch() {
 			released = append(released, &pb.OwnedEpoch{Upstream: u.GetName(), Epoch: u.GetOwnerEpoch()})
 		}
 	}
 	return released
 }
 
-// countPending puts renewals in force whose version the view has. a.mu is held.
-func (a *Agent) countPending() {
-	if a.frame == nil || a.frame.Version < a.pendingRequired {
+// activatePendingLeases puts pending renewals in force if the view has reached
+// the version that they require. a.mu is held.
+func (a *Agent) activatePendingLeases() {
+	if a.frame == nil || a.frame.Version < a.pendingVersion {
 		return
 	}
-	a.currentUntil = a.pendingUntil
-	for name, lease := range a.pending {
+	a.viewCurrentUntil = a.pendingCurrentUntil
+	for name, lease := range a.pendingLeases {
 		u := a.frame.Upstreams[name]
-		kept := a.handedOver[name] != lease.Epoch
-		if kept && u.GetOwner() == a.options.Name && u.GetOwnerEpoch() == lease.Epoch {
-			a.leases[name] = later(a.leases[name], lease)
+		notHandedOver := a.handedOverEpochs[name] != lease.Epoch
+		if notHandedOver && u.GetOwner() == a.options.Name && u.GetOwnerEpoch() == lease.Epoch {
+			a.leases[name] = laterLease(a.leases[name], lease)
 		}
 	}
-	a.pending = map[string]registry.Lease{}
-	a.noteBehind()
+	a.pendingLeases = map[string]registry.Lease{}
+	a.updateBehindSince()
 }
 
-func later(x, y registry.Lease) registry.Lease {
+func laterLease(x, y registry.Lease) registry.Lease {
 	if x.Epoch == y.Epoch && x.Until.After(y.Until) {
 		return x
 	}
 	return y
 }
 
-// noteBehind keeps the time since when the view has been too old. a.mu is held.
-func (a *Agent) noteBehind() {
-	behind := a.frame == nil || a.frame.Version < a.required
+// updateBehindSince sets behindSince when the view falls behind requiredVersion,
+// and clears it when the view has caught up. a.mu is held.
+func (a *Agent) updateBehindSince() {
+	behind := a.frame == nil || a.frame.Version < a.requiredVersion
 	switch {
 	case !behind:
 		a.behindSince = time.Time{}
@@ -151,9 +157,9 @@
 	}
 }
 
-// dropLost ends leases on upstreams that the view gives to another epoch.
-// a.mu is held.
-func (a *Agent) dropLost() {
+// dropLostLeases ends leases on upstreams that have another owner or another
+// owner epoch in the view. a.mu is held.
+func (a *Agent) dropLostLeases() {
 	for name, lease := range a.leases {
 		u := a.frame.Upstreams[name]
 		if u.GetOwner() != a.options.Name || u.GetOwnerEpoch() != lease.Epoch {
@@ -174,30 +180,30 @@
 func (a *Agent) ConfigVersion() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.required
+	return a.requiredVersion
 }
 
 // Current reports whether the view was current at some time within the last
-// lease. If not, this host has lost contact with the quorum.
+// lease. If it was not, this host has lost contact with the quorum.
 func (a *Agent) Current() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return time.Now().Before(a.currentUntil)
+	return time.Now().Before(a.viewCurrentUntil)
 }
 
 // Release gives up all leases at once and hands the upstreams over, for a
-// graceful shutdown. Nothing new may be admitted on them from the call on. It
-// returns once a control host has confirmed it or ctx ends; without a
-// confirmation the upstreams get a new owner when the leases run out. Run may
-// go on: heartbeats then say that the host is leaving.
+// graceful shutdown. From the call on no new work may be admitted on them. It
+// returns once a control host has confirmed the release or ctx ends. Without a
+// confirmation the upstreams get a new owner when the leases expire. Run may
+// continue; its heartbeats then say that the host is leaving.
 func (a *Agent) Release(ctx context.Context) error {
-	released := a.giveUp()
+	released := a.releaseAllLeases()
 	if len(a.clients) == 0 {
 		return &controlclient.Unavailable{Detail: "no control host is configured"}
 	}
-	first := a.firstHost()
+	first := a.randomHost()
 	for i := 0; ; i++ {
-		err := a.heartbeat(ctx, first+i, released)
+		err := a.sendHeartbeat(ctx, first+i, released)
 		if err == nil {
 			a.log.Info("upstreams handed over", "count", len(released))
 			return nil
@@ -205,18 +211,19 @@
 		if ctx.Err() != nil {
 			return err
 		}
-		a.pause(ctx, i+1)
+		a.backOff(ctx, i+1)
 	}
 }
 
-// giveUp names all upstreams that the view gives to this host, with or without
-// a lease, so that none of them has to wait for a lease to run out.
-func (a *Agent) giveUp() []*pb.OwnedEpoch {
+// releaseAllLeases ends all leases of this host and refuses later ones. It
+// returns all upstreams that this host owns in the view, also those on which it
+// holds no lease, so that none of them has to wait for a lease to expire.
+func (a *Agent) releaseAllLeases() []*pb.OwnedEpoch {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.releasing = true
 	a.leases = map[string]registry.Lease{}
-	a.pending = map[string]registry.Lease{}
+	a.pendingLeases = map[string]registry.Lease{}
 	if a.frame == nil {
 		return nil
 	}
--- a/member/watch.go
+++ b/member/watch.go
@@ -14,66 +14,71 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// WentBack reports a Watch message that is older than what the agent holds.
-// The message was ignored.
-type WentBack struct {
+// VersionRegressed reports a Watch message with an older version than the view,
+// or a first message without the whole state (Held is then 0). The message was
+// ignored.
+type VersionRegressed struct {
 	Held, Received uint64
 }
 
-func (e *WentBack) Error() string {
-	return fmt.Sprintf("watch message of version %d received while holding %d", e.Received, e.Held)
+func (e *VersionRegressed) Error() string {
+	return fmt.Sprintf("received watch message of version %d while the view has version %d", e.Received, e.Held)
 }
 
-// Behind reports a Watch stream that stayed older than the leader's version.
-type Behind struct{}
+// StreamBehind reports a Watch stream that did not reach the version required by
+// the leader within Timing.MaxBehind.
+type StreamBehind struct{}
 
-func (e *Behind) Error() string { return "watch stream stayed behind the leader" }
+func (e *StreamBehind) Error() string { return "watch stream stayed behind the leader's version" }
 
-// Silent reports a Watch stream that delivered nothing.
-type Silent struct{}
+// StreamSilent reports a Watch stream that delivered no message for
+// Timing.StreamTimeout.
+type StreamSilent struct{}
 
-func (e *Silent) Error() string { return "watch stream was silent" }
+func (e *StreamSilent) Error() string { return "watch stream delivered no message within its timeout" }
 
-// watches keeps a stream open, and changes the control host after each end.
-func (a *Agent) watches(ctx context.Context) {
+// runWatches keeps a Watch stream open until ctx ends. Whenever a stream ends,
+// it opens the next one to another control host.
+func (a *Agent) runWatches(ctx context.Context) {
 	failures := 0
-	for i := a.firstHost(); ctx.Err() == nil; i++ {
+	for i := a.randomHost(); ctx.Err() == nil; i++ {
 		opened := time.Now()
 		err := a.watch(ctx, i)
 		if ctx.Err() != nil {
 			return
 		}
 		a.metrics.Counter("watch_changes_total").Inc(1)
-		a.log.Info("changing control host for watch", "err", err)
+		a.log.Info("watch stream ended, changing control host", "err", err)
 		failures++
-		if time.Since(opened) > a.timing.Silence {
+		if time.Since(opened) > a.timing.StreamTimeout {
 			failures = 1
 		}
-		a.pause(ctx, failures)
+		a.backOff(ctx, failures)
 	}
 }
 
-// watch reads one stream until it ends, is silent or stays behind.
+// watch reads one Watch stream until it ends, times out or stays behind the
+// version that the leader requires.
 func (a *Agent) watch(ctx context.Context, host int) error {
 	ctx, cancel := context.WithCancelCause(ctx)
-	var guards conc.WaitGroup
-	defer guards.Wait()
+	var background conc.WaitGroup
+	defer background.Wait()
 	defer cancel(nil)
-	// The guard also covers the wait for the first message.
-	guard := time.AfterFunc(a.timing.Silence, func() { cancel(&Silent{}) })
-	defer guard.Stop()
-	request := &pb.WatchRequest{Host: a.options.Name, Version: a.heldVersion()}
+	// The timer also covers the wait for the first message.
+	silenceTimer := time.AfterFunc(a.timing.StreamTimeout, func() { cancel(&StreamSilent{}) })
+	defer silenceTimer.Stop()
+	request := &pb.WatchRequest{Host: a.options.Name, Version: a.viewVersion()}
 	stream, err := a.client(host).Watch(ctx, connect.NewRequest(request))
 	if err != nil {
 		return causeOf(ctx, err)
 	}
 	defer stream.Close()
-	behind := time.NewTicker(a.timing.Behind / 4)
-	defer behind.Stop()
-	guards.Go(func() { a.guardBehind(ctx, behind.C, cancel) })
+	ticker := time.NewTicker(a.timing.MaxBehind / 4)
+	defer ticker.Stop()
+	background.Go(func() { a.cancelWhenBehind(ctx, ticker.C, cancel) })
 	for stream.Receive() {
-		guard.Reset(a.timing.Silence)
-		if err := a.receive(stream.Msg()); err != nil {
+		silenceTimer.Reset(a.timing.StreamTimeout)
+		if err := a.applyMessage(stream.Msg()); err != nil {
 			return err
 		}
 	}
@@ -87,34 +92,34 @@
 	return controlclient.FromConnect(err)
 }
 
-// guardBehind ends the stream once the view has been older for too long than
-// the version that the leader named.
-func (a *Agent) guardBehind(ctx context.Context, tick <-chan time.Time, cancel context.CancelCauseFunc) {
+// cancelWhenBehind ends the stream once the view has been older than the version
+// required by the leader for MaxBehind.
+func (a *Agent) cancelWhenBehind(ctx context.Context, tick <-chan time.Time, cancel context.CancelCauseFunc) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-tick:
-			if a.isBehind(now) {
-				cancel(&Behind{})
+			if a.behindTooLong(now) {
+				cancel(&StreamBehind{})
 				return
 			}
 		}
 	}
 }
 
-func (a *Agent) isBehind(now time.Time) bool {
+func (a *Agent) behindTooLong(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.behindSince.IsZero() || now.Sub(a.behindSince) < a.timing.Behind {
+	if a.behindSince.IsZero() || now.Sub(a.behindSince) < a.timing.MaxBehind {
 		return false
 	}
-	// The next host gets the full time.
+	// The stream to the next control host gets the full time to catch up.
 	a.behindSince = now
 	return true
 }
 
-func (a *Agent) heldVersion() uint64 {
+func (a *Agent) viewVersion() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.frame == nil {
@@ -123,45 +128,47 @@
 	return a.frame.Version
 }
 
-// receive takes a message into the view. The version never goes back.
-func (a *Agent) receive(m *pb.WatchResponse) error {
+// applyMessage applies a Watch message to the view. It ignores messages that
+// would take the view back to an earlier version.
+func (a *Agent) applyMessage(m *pb.WatchResponse) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	held := a.frame
-	if held == nil && !m.GetWhole() {
-		return &WentBack{Received: m.GetVersion()}
+	frame := a.frame
+	if frame == nil && !m.GetWhole() {
+		return &VersionRegressed{Received: m.GetVersion()}
 	}
-	if held != nil && m.GetVersion() < held.Version {
-		return &WentBack{Held: held.Version, Received: m.GetVersion()}
+	if frame != nil && m.GetVersion() < frame.Version {
+		return &VersionRegressed{Held: frame.Version, Received: m.GetVersion()}
 	}
-	if held != nil && m.GetVersion() == held.Version {
+	if frame != nil && m.GetVersion() == frame.Version {
 		return nil
 	}
 	if m.GetWhole() {
-		a.install(controlstate.FrameOf(m))
+		a.replaceFrame(controlstate.FrameOf(m))
 		return nil
 	}
-	a.install(held.With(m))
+	a.replaceFrame(frame.With(m))
 	return nil
 }
 
-// install replaces the view. a.mu is held.
-func (a *Agent) install(next *controlstate.Frame) {
+// replaceFrame replaces the view, ends and starts leases accordingly and closes
+// the channel that Changed has returned. a.mu is held.
+func (a *Agent) replaceFrame(next *controlstate.Frame) {
 	old := a.frame
 	a.frame = next
-	a.dropLost()
-	a.countPending()
-	a.reportConfig(old)
+	a.dropLostLeases()
+	a.activatePendingLeases()
+	a.updateConfigMetrics(old)
 	close(a.changed)
 	a.changed = make(chan struct{})
-	if a.becameOwner(old) {
-		a.Nudge()
+	if a.ownsNewEpoch(old) {
+		a.SendHeartbeatNow()
 	}
 }
 
-// becameOwner is true if the host became owner of an upstream that it holds no
-// lease on yet. a.mu is held.
-func (a *Agent) becameOwner(old *controlstate.Frame) bool {
+// ownsNewEpoch reports whether this host has become the owner of an upstream
+// since the frame old, and so has no lease on it yet. a.mu is held.
+func (a *Agent) ownsNewEpoch(old *controlstate.Frame) bool {
 	for _, u := range a.frame.OwnedBy(a.options.Name) {
 		if old == nil || old.Upstreams[u.GetName()].GetOwnerEpoch() != u.GetOwnerEpoch() {
 			return true
@@ -170,24 +177,25 @@
 	return false
 }
 
-// reportConfig shows the configuration that the view holds, so that an operator
-// can tell which targets are in force on this host. a.mu is held.
-func (a *Agent) reportConfig(old *controlstate.Frame) {
+// updateConfigMetrics reports the configuration of the view as metrics, so that
+// an operator can tell which targets are in force on this host. a.mu is held.
+func (a *Agent) updateConfigMetrics(old *controlstate.Frame) {
 	a.metrics.Gauge("config_version").Update(float64(a.frame.ConfigVersion))
 	for name, c := range a.frame.Classes {
-		a.classWait(name).Update(float64(c.GetWaitMicros()) / 1e6)
+		a.classWaitGauge(name).Update(float64(c.GetWaitMicros()) / 1e6)
 	}
 	if old == nil {
 		return
 	}
 	for name := range old.Classes {
 		if a.frame.Classes[name] == nil {
-			a.classWait(name).Update(0)
+			a.classWaitGauge(name).Update(0)
 		}
 	}
 }
 
-// classWait is zero for a class that was removed.
-func (a *Agent) classWait(name string) tally.Gauge {
+// classWaitGauge returns the gauge of a class's target for waiting. It is set to
+// zero once the class is removed.
+func (a *Agent) classWaitGauge(name string) tally.Gauge {
 	return a.metrics.Tagged(map[string]string{"class": name}).Gauge("class_wait_seconds")
 }
