--- a/registry/registry.go
+++ b/registry/registry.go
@@ -1,5 +1,7 @@
-// Package registry holds the shared picture of classes, upstreams, their
-// owners and their groups. A View is immutable and safe for concurrent use.
+// Package registry defines what a proxy knows about the site: a View of classes,
+// upstreams with their owners, replication groups and hosts, and the Leases of
+// this host. Package member supplies both; the request path reads them. A View
+// is immutable and safe for concurrent use.
 package registry
 
 import (
@@ -15,12 +17,12 @@
 	Database   string
 	Address    string // IP number and port
 	DataCentre string
-	// Slots is how many statements the server executes at a time.
+	// Slots is how many statements the server executes concurrently.
 	Slots int
 	// MaxConnections is how many connections the server accepts.
 	MaxConnections int
-	// Leaving is true once the server has announced that it leaves: it
-	// gets no new work.
+	// Leaving is true once the server has announced that it is leaving. It
+	// then gets no new work.
 	Leaving bool
 	// Owner is the host that holds the lease, empty if none.
 	Owner        string
@@ -34,11 +36,11 @@
 	Term     upstream.Term
 	// Primary is the upstream that leads Term, empty during a change.
 	Primary string
-	// Members are the upstreams that count for a majority.
+	// Members are the upstreams that are counted for a majority of the group.
 	Members []string
 }
 
-// Majority returns how many members make a majority.
+// Majority returns how many members form a majority.
 func (g Group) Majority() int { return len(g.Members)/2 + 1 }
 
 // Host is a proxy host.
@@ -48,12 +50,12 @@
 	DataCentre string
 }
 
-// View is one version of the control state.
+// View is one version of the control state, as proxies use it.
 type View struct {
-	// Version rises with every change of the control state.
+	// Version increases with every change of the control state.
 	Version uint64
-	// ConfigVersion is the version of the last change that requests depend
-	// on: classes, upstreams that leave, and ownership.
+	// ConfigVersion is the version of the last change to something that
+	// requests depend on: classes, leaving upstreams and ownership.
 	ConfigVersion uint64
 	Classes       map[string]class.Class
 	Upstreams     map[string]Upstream
@@ -61,26 +63,28 @@
 	Hosts         map[string]Host
 }
 
-// Directory gives the current view.
+// Directory provides the current view. The request path looks up upstreams,
+// owners and classes in it.
 type Directory interface {
 	// View returns the current view; nil before the first quorum-confirmed
 	// state has arrived.
 	View() *View
-	// Changed returns a channel that is closed at the next change.
+	// Changed returns a channel that is closed at the next change of the view.
 	Changed() <-chan struct{}
 }
 
-// Lease is a host's right to use an upstream.
+// Lease is a host's right to use an upstream under one owner epoch.
 type Lease struct {
 	Epoch uint64
 	Until time.Time // monotonic
 }
 
-// Leases tells which leases this host holds.
+// Leases provides the leases that this host holds. Owners check them before
+// they use an upstream.
 type Leases interface {
 	// Lease returns the lease on an upstream and whether it is in force now.
 	Lease(name string) (Lease, bool)
-	// ConfigVersion returns the version that the last renewal required.
+	// ConfigVersion returns the highest version that a renewal has required.
 	ConfigVersion() uint64
 	// Current reports whether the view was current at some time within the
 	// last lease. It stays true while a host hands its leases over.
