--- a/daemon/auth.go
+++ b/daemon/auth.go
@@ -30,10 +30,10 @@
 	}), nil
 }
 
-// warnOfPlaintext names the risk of passwords without TLS: SCRAM hides the
-// password, but not what follows, and an active attacker can take over the
-// connection after the login.
-func (p *proxy) warnOfPlaintext() {
+// warnAboutPlaintextLogins logs a warning if callers log in with passwords but
+// without TLS: SCRAM hides the password, but not what is sent after the login,
+// and an active attacker can take over the connection then.
+func (p *proxy) warnAboutPlaintextLogins() {
 	if p.settings.Auth == settings.AuthSCRAM && !p.settings.TLSCallers.On() {
 		p.log.Warn("callers log in with passwords but without TLS; set [tls_callers]")
 	}
--- a/daemon/check.go
+++ b/daemon/check.go
@@ -7,8 +7,8 @@
 	"lovageslip/tlsconf"
 )
 
-// Check reads a settings file of either kind as a host does at start: with its
-// certificates, keys and authorities. It opens no port.
+// Check validates the settings file of a proxy or control host as the host does
+// at its start, including certificates, keys and authorities. It opens no port.
 // Errors: settings.Problems, *tlsconf.BadFile.
 func Check(file string) (settings.Kind, error) {
 	kind, err := settings.Check(file)
@@ -30,13 +30,13 @@
 }
 
 func checkTLS(callers, hosts, upstreams settings.TLS) error {
-	loads := []func() (*tls.Config, error){
+	loaders := []func() (*tls.Config, error){
 		func() (*tls.Config, error) { return tlsconf.Server(callers) },
 		func() (*tls.Config, error) { return tlsconf.Server(hosts) },
 		func() (*tls.Config, error) { return tlsconf.Client(hosts) },
 		func() (*tls.Config, error) { return tlsconf.Client(upstreams) },
 	}
-	for _, load := range loads {
+	for _, load := range loaders {
 		if _, err := load(); err != nil {
 			return err
 		}
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -18,8 +18,8 @@
 	"lovageslip/tlsconf"
 )
 
-// RunControl runs a control host until ctx ends or it fails. A nil listener
-// means that it listens on the address of the settings.
+// RunControl runs a control host until ctx ends or a part of it fails. If
+// listener is nil, it listens on the address in the settings.
 func RunControl(ctx context.Context, s *settings.Control, listener net.Listener, log *slog.Logger) error {
 	hostTLS, err := loadHostTLS(s.TLSHosts)
 	if err != nil {
@@ -98,8 +98,9 @@
 	return initial
 }
 
-// watchStorage ends the process when its disk has failed: the host no longer
-// votes, and only a restart can tell what the disk holds.
+// watchStorage returns an error, which ends the process, when the host's disk
+// has failed: the host no longer votes, and only a restart can tell what the
+// disk holds.
 func watchStorage(ctx context.Context, node *consensus.Node) error {
 	select {
 	case <-node.Failed():
@@ -118,7 +119,7 @@
 	}
 }
 
-// listen opens the listener for hosts unless one is given, with TLS if it is
+// listen opens a listener on address unless one is given, and adds TLS if it is
 // configured.
 func listen(listener net.Listener, address string, tlsConfig *tlsServer) (net.Listener, error) {
 	if listener == nil {
--- a/daemon/dev.go
+++ b/daemon/dev.go
@@ -31,10 +31,11 @@
 	Lag time.Duration
 	// Classes are defined at the start; DevClasses if empty.
 	Classes []class.Class
-	// Policy makes the queues' policy; the product's own if nil. It is for
-	// measurements against a baseline.
+	// Policy returns the policy of a new admission queue; nil for the default
+	// policy. Benchmarks set it to compare with a baseline.
 	Policy func() admission.Policy
-	// Ready is called once a caller can connect and every class is in force.
+	// Ready is called once every class is defined and a primary is known, so
+	// that callers can connect.
 	Ready func()
 }
 
@@ -60,7 +61,7 @@
 }
 
 // RunDev runs a control host, a proxy and three stand-in upstreams in one
-// process until ctx ends. Nothing is kept.
+// process until ctx ends. All data is then deleted.
 func RunDev(ctx context.Context, o DevOptions) error {
 	data, err := os.MkdirTemp("", "lovageslip-dev-")
 	if err != nil {
@@ -81,19 +82,20 @@
 		Name: "proxy", DataCentre: devDataCentre, Callers: o.Callers, Hosts: o.Hosts, Advertise: o.Hosts,
 		Metrics: o.Metrics, Control: []string{o.Control}, TokenKeys: devKeys(), ShutdownDeadline: devShutdown,
 	}
-	// The control host outlives ctx until the proxy has shut down.
-	background, stop := context.WithCancel(context.WithoutCancel(ctx))
+	// The control host continues after ctx has ended until the proxy has shut
+	// down, because the proxy's shutdown needs it.
+	controlCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	tasks := pool.New().WithContext(background).WithCancelOnError().WithFirstError()
+	tasks := pool.New().WithContext(controlCtx).WithCancelOnError().WithFirstError()
 	tasks.Go(func(ctx context.Context) error { return RunControl(ctx, control, nil, o.Log) })
-	tasks.Go(func(background context.Context) error {
+	tasks.Go(func(taskCtx context.Context) error {
 		defer stop()
-		both, cancel := context.WithCancel(ctx)
+		proxyCtx, cancel := context.WithCancel(ctx)
 		defer cancel()
-		defer context.AfterFunc(background, cancel)()
-		return RunProxy(both, proxy, ProxyOptions{Policy: o.Policy}, o.Log)
+		defer context.AfterFunc(taskCtx, cancel)()
+		return RunProxy(proxyCtx, proxy, ProxyOptions{Policy: o.Policy}, o.Log)
 	})
-	tasks.Go(func(background context.Context) error { return setUpDev(background, o) })
+	tasks.Go(func(taskCtx context.Context) error { return setUpDev(taskCtx, o) })
 	return tasks.Wait()
 }
 
@@ -134,7 +136,7 @@
 	}
 }
 
-// setUpDev states the classes and calls Ready once a primary is known.
+// setUpDev defines the classes and calls Ready once a primary is known.
 func setUpDev(ctx context.Context, o DevOptions) error {
 	ctx, cancel := context.WithTimeout(ctx, devSetupTimeout)
 	defer cancel()
@@ -143,13 +145,13 @@
 	if len(classes) == 0 {
 		classes = DevClasses()
 	}
-	for _, one := range classes {
-		change := admin.Change{ChangeID: devChangeIDPrefix + one.Name, Class: one, Operator: "dev"}
-		if err := untilDone(ctx, func() error { _, err := client.ChangeClass(ctx, change); return err }); err != nil {
+	for _, definition := range classes {
+		change := admin.Change{ChangeID: devChangeIDPrefix + definition.Name, Class: definition, Operator: "dev"}
+		if err := retryUntilDone(ctx, func() error { _, err := client.ChangeClass(ctx, change); return err }); err != nil {
 			return err
 		}
 	}
-	if err := untilDone(ctx, func() error { return primaryKnown(ctx, client, o.Database) }); err != nil {
+	if err := retryUntilDone(ctx, func() error { return checkDevReady(ctx, client, o.Database) }); err != nil {
 		return err
 	}
 	if o.Ready != nil {
@@ -158,9 +160,9 @@
 	return nil
 }
 
-// untilDone repeats f until it succeeds or ctx ends. What it is used for is
-// safe to repeat: reads, and changes with a change id.
-func untilDone(ctx context.Context, f func() error) error {
+// retryUntilDone calls f until it succeeds or ctx ends. f must be safe to repeat,
+// as reads and changes with a change id are.
+func retryUntilDone(ctx context.Context, f func() error) error {
 	for {
 		err := f()
 		if err == nil {
@@ -174,7 +176,9 @@
 	}
 }
 
-func primaryKnown(ctx context.Context, client *admin.Client, database string) error {
+// checkDevReady returns nil once the primary of the database is known and every
+// upstream has an owner.
+func checkDevReady(ctx context.Context, client *admin.Client, database string) error {
 	status, err := client.Status(ctx)
 	if err != nil {
 		return err
--- a/daemon/load_bench_test.go
+++ b/daemon/load_bench_test.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// Two replicas of five slots make a capacity of 2,000 short reads a
-	// second; at the peak 4,800 a second arrive. Lists are left to the
-	// server, because a service time would apply to each of their rows.
+	// Two replicas of five slots execute at most 2,000 short reads a second;
+	// at the peak 4,800 a second arrive. Lists have no service time of their
+	// own, because it would apply to each of their rows.
 	benchService = 5 * time.Millisecond
 	benchRate    = 600
 	benchTime    = 20 * time.Second
@@ -25,8 +25,9 @@
 	benchSeed    = 7
 )
 
-// policies are measured one after the other in the same run.
-var policies = []struct {
+// comparedPolicies are the admission policies that each benchmark measures, one
+// after the other in the same run.
+var comparedPolicies = []struct {
 	name string
 	make func() admission.Policy
 }{
@@ -34,8 +35,9 @@
 	{"shortest", func() admission.Policy { return admission.NewShortest() }},
 }
 
-// BenchmarkPeak plays ten times the load for 5 s against the whole path, with
-// both policies. Run it with -benchtime=1x -v for the tables.
+// BenchmarkPeak raises an open-loop load to ten times its rate for 5 s, against
+// the development set-up with each policy. Run it with -benchtime=1x -v for the
+// tables.
 func BenchmarkPeak(b *testing.B) {
 	profile := loadgen.PendragonLloyd(benchRate, benchTime).
 		WithService("short", benchService).
@@ -43,8 +45,8 @@
 	comparePolicies(b, profile)
 }
 
-// BenchmarkStragglers plays a steady load in which 1 % of the reads run 100
-// times longer than the rest.
+// BenchmarkStragglers runs a steady open-loop load in which 1 % of the reads
+// take 100 times longer than the rest.
 func BenchmarkStragglers(b *testing.B) {
 	profile := loadgen.PendragonLloyd(benchRate, benchTime).
 		WithService("short", benchService).
@@ -55,8 +57,8 @@
 func comparePolicies(b *testing.B, profile loadgen.Profile) {
 	profile = profile.WithClass("", "browsing").WithClass("write", "ordering").WithWait("", benchWait)
 	for range b.N {
-		for _, policy := range policies {
-			result := playAgainst(b, profile, policy.make)
+		for _, policy := range comparedPolicies {
+			result := runProfile(b, profile, policy.make)
 			for _, work := range result.Work {
 				b.ReportMetric(100*work.Share, fmt.Sprintf("%s-%s-inside-%%", policy.name, work.Name))
 				b.ReportMetric(float64(work.Latency.P99.Milliseconds()), fmt.Sprintf("%s-%s-p99-ms", policy.name, work.Name))
@@ -68,8 +70,9 @@
 	}
 }
 
-// playAgainst runs a profile against a new development set-up.
-func playAgainst(b *testing.B, profile loadgen.Profile, policy func() admission.Policy) *loadgen.Result {
+// runProfile runs a load profile against a new development set-up whose queues
+// use the given policy.
+func runProfile(b *testing.B, profile loadgen.Profile, policy func() admission.Policy) *loadgen.Result {
 	b.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/daemon/main.go
+++ b/daemon/main.go
@@ -31,7 +31,7 @@
 
 // Main parses the command line into command, which has a method
 // Run(context.Context) error, and runs it. The context ends at the first
-// SIGINT or SIGTERM; the second one ends the process at once.
+// SIGINT or SIGTERM; the second signal ends the process at once.
 func Main(name, description string, command any) {
 	ctx, cancel := context.WithCancel(context.Background())
 	signals := make(chan os.Signal, 2)
--- a/daemon/ops.go
+++ b/daemon/ops.go
@@ -11,14 +11,14 @@
 	"lovageslip/fault"
 )
 
-const headerTimeout = 5 * time.Second
+const readHeaderTimeout = 5 * time.Second
 
-// Readiness reports whether the platform should send callers here, with the
-// reason if not.
+// Readiness reports whether this host is ready to serve callers, and the reason
+// if it is not. The platform's readiness check gets the answer.
 type Readiness func() (ready bool, reason string)
 
-// serveOps serves metrics and health until ctx ends. An empty address turns it
-// off.
+// serveOps serves metrics, health and readiness over HTTP until ctx ends. With
+// an empty address it serves nothing.
 func serveOps(ctx context.Context, address string, metrics http.Handler, ready Readiness) error {
 	if address == "" {
 		<-ctx.Done()
@@ -32,7 +32,7 @@
 	mux.Handle("/metrics", metrics)
 	mux.HandleFunc("/health", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("/ready", readyHandler(ready))
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.Serve(listener); ctx.Err() == nil {
--- a/daemon/proxy.go
+++ b/daemon/proxy.go
@@ -29,21 +29,22 @@
 	"lovageslip/tlsconf"
 )
 
-// answerGrace is how long the last answers to other hosts may take on their way
-// once the owner has finished its work.
-const answerGrace = 2 * time.Second
+// hostGracePeriod is how long the last answers to other hosts may take to be
+// delivered after the owner has finished its work.
+const hostGracePeriod = 2 * time.Second
 
-// ProxyOptions are what the settings of a proxy do not say.
+// ProxyOptions holds what RunProxy needs besides the settings file.
 type ProxyOptions struct {
-	// Callers and Hosts are open listeners; a nil one is opened on the
-	// address of the settings.
+	// Callers and Hosts are open listeners. If one is nil, RunProxy listens
+	// on its address in the settings.
 	Callers net.Listener
 	Hosts   net.Listener
-	// Policy makes the queues' policy; the product's own if nil.
+	// Policy returns the policy of a new admission queue; nil for the default
+	// policy.
 	Policy func() admission.Policy
 }
 
-// proxy is the assembly of one proxy host.
+// proxy holds the parts of one proxy host.
 type proxy struct {
 	settings  *settings.Proxy
 	log       *slog.Logger
@@ -56,8 +57,8 @@
 	draining  atomic.Bool
 }
 
-// RunProxy runs a proxy host. When ctx ends, it shuts down gracefully within
-// the deadline of the settings: nothing in flight is cut off before that.
+// RunProxy runs a proxy host. When ctx ends, it shuts down gracefully: work in
+// flight may finish until the shutdown deadline in the settings.
 func RunProxy(ctx context.Context, s *settings.Proxy, o ProxyOptions, log *slog.Logger) error {
 	scope, metricsHandler, closer := metrics.NewScope()
 	defer closer.Close()
@@ -107,7 +108,7 @@
 	p := &proxy{settings: s, log: logging.For(log, "daemon"), scope: scope}
 	p.agent = member.New(member.Options{
 		Log: log, Metrics: scope, Control: s.Control, Name: s.Name, Address: s.Advertise,
-		DataCentre: s.DataCentre, Health: healthOf{p}, HTTPClient: controlClient,
+		DataCentre: s.DataCentre, Health: healthSource{p}, HTTPClient: controlClient,
 	})
 	p.owner = owner.New(owner.Options{
 		Log: log, Metrics: scope, Host: s.Name, Directory: p.agent, Leases: p.agent, Policy: policy,
@@ -137,24 +138,24 @@
 	return session.NewSigner(accepted...)
 }
 
-// healthOf reports the health of the upstreams that a proxy owns in the form
-// of heartbeats.
-type healthOf struct {
+// healthSource implements member.HealthSource: it converts the owner's health
+// reports on its upstreams to the messages that heartbeats carry.
+type healthSource struct {
 	proxy *proxy
 }
 
-func (h healthOf) Health() []*lovageslipv1.UpstreamHealth {
+func (h healthSource) Health() []*lovageslipv1.UpstreamHealth {
 	var reports []*lovageslipv1.UpstreamHealth
-	for _, one := range h.proxy.owner.Health() {
+	for _, health := range h.proxy.owner.Health() {
 		reports = append(reports, &lovageslipv1.UpstreamHealth{
-			Upstream:                one.Upstream,
-			Reachable:               one.Reachable,
-			UnreachableMicros:       one.Unreachable.Microseconds(),
-			Primary:                 one.Primary,
-			Term:                    uint64(one.Term),
-			Position:                uint64(one.Offset),
-			DataAgeMicros:           one.DataAge.Microseconds(),
-			PrimaryContactAgeMicros: one.PrimaryContactAge.Microseconds(),
+			Upstream:                health.Upstream,
+			Reachable:               health.Reachable,
+			UnreachableMicros:       health.Unreachable.Microseconds(),
+			Primary:                 health.Primary,
+			Term:                    uint64(health.Term),
+			Position:                uint64(health.Offset),
+			DataAgeMicros:           health.DataAge.Microseconds(),
+			PrimaryContactAgeMicros: health.PrimaryContactAge.Microseconds(),
 		})
 	}
 	return reports
@@ -166,26 +167,26 @@
 	mux.Handle(p.agent.AnnounceHandler())
 	mux.Handle(p.callers.CancelHandler())
 
-	// The parts outlive ctx: they stop only after the shutdown has let
-	// everything in flight finish.
-	parts, stop := context.WithCancel(context.WithoutCancel(ctx))
+	// The parts continue after ctx has ended. They stop only after the
+	// shutdown, during which work in flight may finish.
+	partsCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	tasks := pool.New().WithContext(parts).WithCancelOnError().WithFirstError()
+	tasks := pool.New().WithContext(partsCtx).WithCancelOnError().WithFirstError()
 	tasks.Go(func(ctx context.Context) error { p.agent.Run(ctx); return nil })
 	tasks.Go(func(ctx context.Context) error {
-		return serveHosts(ctx, hosts, p.settings.TLSHosts, mux, answerGrace, p.log)
+		return serveHosts(ctx, hosts, p.settings.TLSHosts, mux, hostGracePeriod, p.log)
 	})
 	tasks.Go(func(ctx context.Context) error { return serveOps(ctx, p.settings.Metrics, metricsHandler, p.ready) })
 	tasks.Go(func(context.Context) error { return p.serveCallers(callers) })
-	tasks.Go(func(parts context.Context) error {
+	tasks.Go(func(partsCtx context.Context) error {
 		select {
 		case <-ctx.Done():
-		case <-parts.Done():
+		case <-partsCtx.Done():
 		}
 		defer stop()
 		return p.shutdown()
 	})
-	p.warnOfPlaintext()
+	p.warnAboutPlaintextLogins()
 	p.log.Info("proxy started", "host", p.settings.Name, "callers", callers.Addr(), "hosts", hosts.Addr())
 	return tasks.Wait()
 }
@@ -211,8 +212,8 @@
 	return true, ""
 }
 
-// shutdown hands owned upstreams over and lets everything in flight finish.
-// Callers and the owner drain side by side: callers of this host may depend on
+// shutdown hands owned upstreams over and lets work in flight finish. Callers
+// and the owner drain concurrently, because callers of this host may depend on
 // its own upstreams and on those of other hosts.
 func (p *proxy) shutdown() error {
 	p.draining.Store(true)
--- a/daemon/site_test.go
+++ b/daemon/site_test.go
@@ -36,33 +36,34 @@
 	siteTimeout      = 60 * time.Second
 )
 
-// firstBytes wraps a listener and notes the first byte of each connection.
-type firstBytes struct {
+// firstByteListener wraps a listener and counts the connections by their first
+// byte, which tells TLS from plaintext.
+type firstByteListener struct {
 	net.Listener
-	mu   sync.Mutex
-	seen map[byte]int // guarded by mu
+	mu     sync.Mutex
+	counts map[byte]int // guarded by mu
 }
 
-func (f *firstBytes) Accept() (net.Conn, error) {
+func (f *firstByteListener) Accept() (net.Conn, error) {
 	conn, err := f.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &firstByteConn{Conn: conn, to: f}, nil
+	return &firstByteConn{Conn: conn, listener: f}, nil
 }
 
-func (f *firstBytes) note(b byte) {
+func (f *firstByteListener) record(b byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.seen[b]++
+	f.counts[b]++
 }
 
-// count returns how many connections began with TLS and how many otherwise.
-func (f *firstBytes) count() (encrypted, plain int) {
+// connections returns how many connections began with TLS and how many did not.
+func (f *firstByteListener) connections() (encrypted, plain int) {
 	const handshakeRecord = 0x16
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for b, n := range f.seen {
+	for b, n := range f.counts {
 		if b == handshakeRecord {
 			encrypted += n
 		} else {
@@ -74,14 +75,14 @@
 
 type firstByteConn struct {
 	net.Conn
-	to   *firstBytes
-	once sync.Once
+	listener *firstByteListener
+	once     sync.Once
 }
 
 func (c *firstByteConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.once.Do(func() { c.to.note(p[0]) })
+		c.once.Do(func() { c.listener.record(p[0]) })
 	}
 	return n, err
 }
@@ -104,19 +105,20 @@
 	return b.buf.String()
 }
 
-// secureSite is a site in this process with TLS and passwords on every edge.
+// secureSite is a site in this process, with TLS on all connections and with
+// passwords for callers and upstreams.
 type secureSite struct {
-	t         *testing.T
-	hosts     *testcert.Authority
-	announcer *testcert.Authority
-	callers   *testcert.Authority
-	upstreams *testcert.Authority
-	log       *logBuffer
-	ports     []*firstBytes // host ports: of the control hosts, then of the proxies
-	callerTo  []string      // caller ports
-	servers   []*standin.Server
-	client    *http.Client // with the certificate of an operator
-	admin     *admin.Client
+	t               *testing.T
+	hosts           *testcert.Authority
+	announcer       *testcert.Authority
+	callers         *testcert.Authority
+	upstreams       *testcert.Authority
+	log             *logBuffer
+	hostListeners   []*firstByteListener // of the control hosts, then of the proxies
+	callerAddresses []string             // where proxies accept callers
+	standins        []*standin.Server
+	client          *http.Client // with the certificate of an operator
+	admin           *admin.Client
 }
 
 func startSecureSite(t *testing.T) *secureSite {
@@ -131,7 +133,7 @@
 		}
 	})
 	for range siteControls + siteProxies {
-		s.ports = append(s.ports, &firstBytes{Listener: openListener(t), seen: make(map[byte]int)})
+		s.hostListeners = append(s.hostListeners, &firstByteListener{Listener: openListener(t), counts: make(map[byte]int)})
 	}
 	s.client = s.httpClient(s.hosts.Issue(t, "operator"))
 	s.admin = admin.New(s.client, s.addresses(0, siteControls))
@@ -159,7 +161,7 @@
 
 func (s *secureSite) addresses(from, to int) []string {
 	var addresses []string
-	for _, port := range s.ports[from:to] {
+	for _, port := range s.hostListeners[from:to] {
 		addresses = append(addresses, port.Addr().String())
 	}
 	return addresses
@@ -200,12 +202,12 @@
 		Upstreams: settings.Upstreams{User: "proxy", Password: upstreamPassword},
 	}
 	s.run(control.Name, func(ctx context.Context) error {
-		return RunControl(ctx, control, s.ports[i], s.logger(control.Name))
+		return RunControl(ctx, control, s.hostListeners[i], s.logger(control.Name))
 	})
 }
 
 func (s *secureSite) startProxy(i int, key settings.TokenKey) {
-	callers, hosts := openListener(s.t), s.ports[siteControls+i]
+	callers, hosts := openListener(s.t), s.hostListeners[siteControls+i]
 	name := fmt.Sprintf("proxy-%d", i+1)
 	tlsCallers := s.callers.Issue(s.t, name)
 	tlsCallers.Authority = "" // callers have passwords, not certificates
@@ -216,21 +218,21 @@
 		TLSCallers: tlsCallers, TLSHosts: s.hostFiles(name), TLSUpstreams: settings.TLS{Authority: s.upstreams.File},
 		Upstreams: settings.Upstreams{User: "proxy", Password: upstreamPassword},
 	}
-	s.callerTo = append(s.callerTo, callers.Addr().String())
+	s.callerAddresses = append(s.callerAddresses, callers.Addr().String())
 	s.run(name, func(ctx context.Context) error {
 		return RunProxy(ctx, proxy, ProxyOptions{Callers: callers, Hosts: hosts}, s.logger(name))
 	})
 }
 
-// hostFiles are the certificate of a host and the authorities of its peers.
+// hostFiles returns the certificate of a host and the authorities of its peers.
 func (s *secureSite) hostFiles(name string) settings.TLS {
 	files := s.hosts.Issue(s.t, name)
 	files.Announcers = s.announcer.File
 	return files
 }
 
-// announcerFiles are the certificate of an upstream that announces itself and
-// the authority of the hosts.
+// announcerFiles returns the certificate of an upstream that announces itself
+// and the authority of the hosts.
 func (s *secureSite) announcerFiles() settings.TLS {
 	files := s.announcer.Issue(s.t, "announcer")
 	files.Authority = s.hosts.File
@@ -245,20 +247,20 @@
 	config, err := tlsconf.Server(settings.TLS{Certificate: files.Certificate, Key: files.Key})
 	assert.NilError(s.t, err)
 	options := standin.Options{
-		Name: fmt.Sprintf("%s-%d", siteDatabase, len(s.servers)+1), Database: siteDatabase, DataCentre: "luzon",
+		Name: fmt.Sprintf("%s-%d", siteDatabase, len(s.standins)+1), Database: siteDatabase, DataCentre: "luzon",
 		Slots: 5, MaxConnections: 70, TLS: config, Passwords: map[string]string{"proxy": upstreamPassword},
 		HTTPClient: s.httpClient(s.announcerFiles()),
 	}
-	for _, address := range s.addresses(0, len(s.ports)) {
+	for _, address := range s.addresses(0, len(s.hostListeners)) {
 		options.AnnounceTo = append(options.AnnounceTo, "https://"+address)
 	}
-	if len(s.servers) > 0 {
-		options.Primary = s.servers[0].Address()
+	if len(s.standins) > 0 {
+		options.Primary = s.standins[0].Address()
 	}
 	server, err := standin.Start(options)
 	assert.NilError(s.t, err)
 	s.t.Cleanup(server.Close)
-	s.servers = append(s.servers, server)
+	s.standins = append(s.standins, server)
 }
 
 func (s *secureSite) await(what string, f func(context.Context) error) {
@@ -302,7 +304,7 @@
 	return status
 }
 
-// awaitWrite waits until a proxy takes a write.
+// awaitWrite waits until a write through a proxy succeeds.
 func (s *secureSite) awaitWrite(proxy int) {
 	s.t.Helper()
 	s.await(fmt.Sprintf("proxy %d writes", proxy+1), func(ctx context.Context) error {
@@ -318,10 +320,11 @@
 
 func (s *secureSite) connect(ctx context.Context, proxy int, password, class string) (*pgx.Conn, error) {
 	return pgx.Connect(ctx, fmt.Sprintf("postgres://app:%s@%s/%s?sslmode=verify-full&sslrootcert=%s&lovageslip.class=%s",
-		password, s.callerTo[proxy], siteDatabase, s.callers.File, class))
+		password, s.callerAddresses[proxy], siteDatabase, s.callers.File, class))
 }
 
-// withoutCertificate trusts the hosts, but has no certificate of its own.
+// withoutCertificate returns the configuration of a client that trusts the
+// hosts, but has no certificate of its own.
 func (s *secureSite) withoutCertificate() *tls.Config {
 	s.t.Helper()
 	config, err := tlsconf.Client(settings.TLS{Authority: s.hosts.File})
--- a/daemon/tls.go
+++ b/daemon/tls.go
@@ -14,13 +14,14 @@
 	"lovageslip/tlsconf"
 )
 
-// hostTLS holds both sides of the connections between hosts.
+// hostTLS holds the TLS configuration of connections between hosts, as server
+// and as client.
 type hostTLS struct {
 	server *tlsServer
 	client *tls.Config // nil if TLS is off
 }
 
-// tlsServer wraps listeners. The zero value leaves them as they are.
+// tlsServer adds TLS to listeners. The zero value returns them unchanged.
 type tlsServer struct {
 	config *tls.Config // nil if TLS is off
 }
@@ -47,8 +48,8 @@
 }
 
 // serveHosts serves the calls of other hosts until ctx ends. Peers that are
-// refused in the handshake are logged. Calls that are still being answered when
-// ctx ends have the grace to finish.
+// refused in the handshake are logged. Calls in flight when ctx ends may finish
+// within grace.
 func serveHosts(ctx context.Context, listener net.Listener, files settings.TLS, handler http.Handler, grace time.Duration, log *slog.Logger) error {
 	limited, err := tlsconf.LimitAnnouncers(files, lovageslipv1connect.ControlServiceAnnounceProcedure, handler)
 	if err != nil {
@@ -56,20 +57,20 @@
 	}
 	server := newHostServer(limited)
 	server.ErrorLog = slog.NewLogLogger(log.Handler(), slog.LevelWarn)
-	ended := make(chan struct{})
+	drained := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
-		defer close(ended)
-		endServer(server, grace)
+		defer close(drained)
+		shutDownServer(server, grace)
 	})
 	err = server.Serve(listener)
 	if stop() {
 		return &fault.IO{Op: "serve hosts", Err: err}
 	}
-	<-ended
+	<-drained
 	return nil
 }
 
-func endServer(server *http.Server, grace time.Duration) {
+func shutDownServer(server *http.Server, grace time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
 	if grace > 0 {
@@ -78,8 +79,8 @@
 	_ = server.Close()
 }
 
-// newHostServer serves HTTP/2, and HTTP/1.1 for announcements by plain JSON
-// clients. The listener brings TLS, if any.
+// newHostServer returns a server of HTTP/2, and of HTTP/1.1 for announcements by
+// plain JSON clients. TLS, if any, is added by the listener.
 func newHostServer(handler http.Handler) *http.Server {
 	protocols := tlsconf.Protocols(true, true)
 	protocols.SetUnencryptedHTTP2(true)
@@ -87,6 +88,6 @@
 		Handler:           handler,
 		Protocols:         protocols,
 		HTTP2:             tlsconf.HTTP2(),
-		ReadHeaderTimeout: headerTimeout,
+		ReadHeaderTimeout: readHeaderTimeout,
 	}
 }
--- a/daemon/tls_test.go
+++ b/daemon/tls_test.go
@@ -21,15 +21,15 @@
 	"lovageslip/tlsconf"
 )
 
-// TestSiteWithTLSOnEveryEdge guards against a part that sends plaintext or
-// cannot reach its peers when TLS is on, and against peers that get in without
+// TestSiteWithTLSOnEveryEdge guards against parts that send plaintext or cannot
+// reach their peers when TLS is on, and against hosts that accept peers without
 // a certificate.
 func TestSiteWithTLSOnEveryEdge(t *testing.T) {
 	s := startSecureSite(t)
 	t.Run("reads and writes through every proxy", s.testStatements)
 	t.Run("changes through every control host", s.testChanges)
 	t.Run("no host has sent plaintext", s.testNoPlaintext)
-	t.Run("strangers are refused in the handshake", s.testStrangers)
+	t.Run("unknown peers are refused in the handshake", s.testUnknownPeers)
 	t.Run("plaintext is refused", s.testPlaintext)
 	t.Run("announcement with a certificate", s.testAnnouncement)
 	t.Run("announcers only announce", s.testAnnouncersOnlyAnnounce)
@@ -73,14 +73,14 @@
 }
 
 func (s *secureSite) testNoPlaintext(t *testing.T) {
-	for _, port := range s.ports {
-		encrypted, plain := port.count()
+	for _, port := range s.hostListeners {
+		encrypted, plain := port.connections()
 		assert.Assert(t, encrypted > 0, "no connection to %s", port.Addr())
 		assert.Equal(t, plain, 0, "plaintext to %s", port.Addr())
 	}
 }
 
-const intruder = `{"name":"intruder","database":"diary","address":"127.0.0.1:1","dataCentre":"luzon","role":"replica","term":"1","slots":5,"maxConnections":70}`
+const refusedAnnouncement = `{"name":"intruder","database":"diary","address":"127.0.0.1:1","dataCentre":"luzon","role":"replica","term":"1","slots":5,"maxConnections":70}`
 
 func announce(client *http.Client, base, body string) (int, error) {
 	url := base + lovageslipv1connect.ControlServiceAnnounceProcedure
@@ -93,7 +93,7 @@
 	return response.StatusCode, err
 }
 
-func (s *secureSite) assertUnknown(t *testing.T, upstream string) {
+func (s *secureSite) assertNotRegistered(t *testing.T, upstream string) {
 	t.Helper()
 	status, err := s.admin.Status(t.Context())
 	assert.NilError(t, err)
@@ -102,23 +102,24 @@
 	}
 }
 
-// testStrangers tries each host port over HTTP/1.1 and HTTP/2.
-func (s *secureSite) testStrangers(t *testing.T) {
-	foreign, err := tlsconf.Client(testcert.NewAuthority(t, "foreign").Issue(t, "stranger"))
+// testUnknownPeers calls each host over HTTP/1.1 and HTTP/2, without a
+// certificate and with a certificate of an authority that the hosts don't trust.
+func (s *secureSite) testUnknownPeers(t *testing.T) {
+	otherAuthority, err := tlsconf.Client(testcert.NewAuthority(t, "foreign").Issue(t, "stranger"))
 	assert.NilError(t, err)
-	foreign.RootCAs = s.withoutCertificate().RootCAs
-	for name, config := range map[string]*tls.Config{"without certificate": s.withoutCertificate(), "of another authority": foreign} {
-		for _, address := range s.addresses(0, len(s.ports)) {
+	otherAuthority.RootCAs = s.withoutCertificate().RootCAs
+	for name, config := range map[string]*tls.Config{"without certificate": s.withoutCertificate(), "of another authority": otherAuthority} {
+		for _, address := range s.addresses(0, len(s.hostListeners)) {
 			clients := []*http.Client{tlsconf.HTTPClient(config), {Transport: &http.Transport{TLSClientConfig: config.Clone()}}}
 			for _, client := range clients {
-				_, err := announce(client, "https://"+address, intruder)
+				_, err := announce(client, "https://"+address, refusedAnnouncement)
 				assert.Assert(t, err != nil, "%s is served by %s", name, address)
 				client.CloseIdleConnections()
 			}
 			s.assertRefusedInHandshake(t, config, address)
 		}
 	}
-	s.assertUnknown(t, "intruder")
+	s.assertNotRegistered(t, "intruder")
 }
 
 // assertRefusedInHandshake connects without a request. In TLS 1.3 the client
@@ -137,28 +138,28 @@
 }
 
 func (s *secureSite) testPlaintext(t *testing.T) {
-	for _, address := range s.addresses(0, len(s.ports)) {
-		code, err := announce(&http.Client{Transport: &http.Transport{}}, "http://"+address, intruder)
+	for _, address := range s.addresses(0, len(s.hostListeners)) {
+		code, err := announce(&http.Client{Transport: &http.Transport{}}, "http://"+address, refusedAnnouncement)
 		assert.Assert(t, err != nil || code == http.StatusBadRequest, "answered %d", code)
-		_, err = announce(tlsconf.HTTPClient(nil), "http://"+address, intruder)
+		_, err = announce(tlsconf.HTTPClient(nil), "http://"+address, refusedAnnouncement)
 		assert.Assert(t, err != nil, "HTTP/2 without TLS is served by %s", address)
 		_, err = admin.New(tlsconf.HTTPClient(nil), []string{address}).Status(t.Context())
 		assert.Assert(t, err != nil, "operators are served in plaintext by %s", address)
 	}
-	s.assertUnknown(t, "intruder")
-	_, err := pgx.Connect(t.Context(), "postgres://app:"+callerPassword+"@"+s.callerTo[0]+"/diary?sslmode=disable")
+	s.assertNotRegistered(t, "intruder")
+	_, err := pgx.Connect(t.Context(), "postgres://app:"+callerPassword+"@"+s.callerAddresses[0]+"/diary?sslmode=disable")
 	assert.ErrorContains(t, err, "28000")
 }
 
-// testAnnouncement announces as an upstream does that has nothing but JSON
-// over HTTP/1.1 and a certificate.
+// testAnnouncement announces an upstream to each host with plain JSON over
+// HTTP/1.1 and an announcer's certificate.
 func (s *secureSite) testAnnouncement(t *testing.T) {
 	config, err := tlsconf.Client(s.announcerFiles())
 	assert.NilError(t, err)
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: config}}
 	defer client.CloseIdleConnections()
-	body := strings.NewReplacer("intruder", "guest", `"diary"`, `"guests"`).Replace(intruder)
-	for _, address := range s.addresses(0, len(s.ports)) {
+	body := strings.NewReplacer("intruder", "guest", `"diary"`, `"guests"`).Replace(refusedAnnouncement)
+	for _, address := range s.addresses(0, len(s.hostListeners)) {
 		s.await("announcement to "+address, func(context.Context) error {
 			code, err := announce(client, "https://"+address, body)
 			if err == nil && code != http.StatusOK {
@@ -169,11 +170,11 @@
 	}
 }
 
-// testAnnouncersOnlyAnnounce tries the other services with the certificate of
-// an upstream.
+// testAnnouncersOnlyAnnounce calls other procedures with an announcer's
+// certificate, which must be refused.
 func (s *secureSite) testAnnouncersOnlyAnnounce(t *testing.T) {
 	client := s.httpClient(s.announcerFiles())
-	for _, address := range s.addresses(0, len(s.ports)) {
+	for _, address := range s.addresses(0, len(s.hostListeners)) {
 		for _, procedure := range []string{
 			lovageslipv1connect.ControlServiceStatusProcedure,
 			lovageslipv1connect.ControlServiceChangeClassProcedure,
@@ -195,9 +196,10 @@
 	assert.Assert(t, !strings.Contains(err.Error(), callerPassword), "%v", err)
 }
 
-// testChangeOfPrimary makes control log in to the upstreams over TLS.
+// testChangeOfPrimary stops the primary, so that the control leader must log in
+// to the other upstreams over TLS and change the primary.
 func (s *secureSite) testChangeOfPrimary(t *testing.T) {
-	s.servers[0].Kill()
+	s.standins[0].Kill()
 	for i := range siteProxies {
 		s.awaitWrite(i)
 	}
@@ -211,11 +213,11 @@
 	}
 }
 
-// Guards against passwords over plaintext that nobody notices.
+// An operator who turns on passwords without TLS must be warned in the log.
 func TestPasswordsWithoutTLSAreWarnedOf(t *testing.T) {
 	log := &logBuffer{}
 	s := &secureSite{log: log}
 	p := &proxy{settings: &settings.Proxy{Auth: settings.AuthSCRAM}, log: s.logger("proxy")}
-	p.warnOfPlaintext()
+	p.warnAboutPlaintextLogins()
 	assert.Assert(t, strings.Contains(log.String(), "without TLS"))
 }
