--- a/control/agent_test.go
+++ b/control/agent_test.go
@@ -52,9 +52,9 @@
 // A host that shuts down must hand its upstreams over at once, not only when
 // their leases expire.
 func TestAgentReleaseHandsOver(t *testing.T) {
-	slow := shortTiming
-	slow.LeaseExpiry = time.Hour
-	c := startCluster(t, 1, slow, nil)
+	longLease := shortTiming
+	longLease.LeaseExpiry = time.Hour
+	c := startCluster(t, 1, longLease, nil)
 	awaitLeader(t, c.nodes[0])
 	first := startAgent(t, "p1", c.nodes[0].address)
 	c.nodes[0].announce(t, announcement("u1", "luzon"))
--- a/control/server_test.go
+++ b/control/server_test.go
@@ -85,9 +85,9 @@
 // A released upstream must be handed over at once, and not to the host that
 // is leaving.
 func TestReleasedUpstreamIsReassignedAtOnce(t *testing.T) {
-	slow := shortTiming
-	slow.LeaseExpiry = time.Hour
-	c := startCluster(t, 1, slow, nil)
+	longLease := shortTiming
+	longLease.LeaseExpiry = time.Hour
+	c := startCluster(t, 1, longLease, nil)
 	n := c.nodes[0]
 	awaitLeader(t, n)
 	n.announce(t, announcement("u1", "luzon"))
@@ -206,10 +206,10 @@
 // A host may be assigned an upstream at the moment when it starts to leave. The
 // upstream must then move on to another host, although the leaving host still
 // sends heartbeats.
-func TestLeavingHostKeepsNothing(t *testing.T) {
-	slow := shortTiming
-	slow.LeaseExpiry = time.Hour
-	c := startCluster(t, 1, slow, nil)
+func TestLeavingHostKeepsNoUpstream(t *testing.T) {
+	longLease := shortTiming
+	longLease.LeaseExpiry = time.Hour
+	c := startCluster(t, 1, longLease, nil)
 	n := c.nodes[0]
 	awaitLeader(t, n)
 	n.announce(t, announcement("u1", "luzon"))
