--- a/caller/pgcaller/answer.go
+++ b/caller/pgcaller/answer.go
@@ -6,35 +6,41 @@
 	"lovageslip/fault"
 )
 
-// maxHeld is the largest message that is held until it is complete. A larger
-// one is passed on in parts; if its rest is lost, the connection must end.
-const maxHeld = 64 << 10
-
-// answer passes an upstream's answer on to the caller. It forwards whole
-// messages, adds the proxy's own answers in their places, and holds the final
-// ReadyForQuery until the exchange is known to be complete.
-type answer struct {
+// maxBufferedBytes is the size of the largest message that is buffered until it
+// is complete. A larger one is passed on in parts; if its rest is lost, the
+// caller's connection must end.
+const maxBufferedBytes = 64 << 10
+
+// answerRelay passes an upstream's answer to one batch on to the caller. It
+// forwards whole messages, inserts the proxy's own answers at their places and
+// drops the final ReadyForQuery: the connection sends its own once the exchange
+// is known to be complete.
+type answerRelay struct {
 	conn *conn
-	// ops are the expected answers; nil for the simple protocol.
+	// ops are the answers still expected; nil for the simple protocol.
 	ops []op
-	// failed is true once the answer holds an error.
+	// failed is true once an ErrorResponse has arrived.
 	failed bool
 	// ready is true once ReadyForQuery has arrived.
 	ready bool
-	held  []byte
-	// passing is the rest of a large message that is passed on in parts.
-	passing int
-	mark    int
+	// buffered is an incomplete message from the end of the last chunk.
+	buffered []byte
+	// streamRemaining is the number of bytes still to come of a large message
+	// that is passed on in parts.
+	streamRemaining int
+	// writerMark is the writer's position at the start of the answer.
+	writerMark int
 }
 
-// take is the sink of the exchange.
-func (a *answer) take(chunk []byte) error {
+// receive is the sink that the exchange passes the answer's chunks to. A chunk
+// may begin and end inside a message.
+func (a *answerRelay) receive(chunk []byte) error {
 	for len(chunk) > 0 {
 		var err error
-		if a.passing > 0 {
-			chunk, err = a.pass(chunk)
+		if a.streamRemaining > 0 {
+			chunk, err = a.streamPart(chunk)
 		} else {
-			chunk, err = a.message(chunk)
+			chunk, err = a.nextMessage(chunk)
 		}
 		if err != nil {
 			return err
@@ -43,63 +49,65 @@
 	return nil
 }
 
-func (a *answer) pass(chunk []byte) ([]byte, error) {
-	n := min(a.passing, len(chunk))
-	a.passing -= n
+func (a *answerRelay) streamPart(chunk []byte) ([]byte, error) {
+	n := min(a.streamRemaining, len(chunk))
+	a.streamRemaining -= n
 	return chunk[n:], a.conn.writer.add(chunk[:n])
 }
 
-// message handles the next message and returns the rest of the chunk.
-func (a *answer) message(chunk []byte) ([]byte, error) {
-	if len(a.held) > 0 {
-		return a.complete(chunk)
+// nextMessage handles or buffers the message at the start of chunk and returns
+// the rest of chunk.
+func (a *answerRelay) nextMessage(chunk []byte) ([]byte, error) {
+	if len(a.buffered) > 0 {
+		return a.completeBuffered(chunk)
 	}
 	size := messageSize(chunk)
 	if size > 0 && size <= len(chunk) {
-		return chunk[size:], a.handle(chunk[:size])
+		return chunk[size:], a.handleMessage(chunk[:size])
 	}
-	if size > maxHeld {
-		return a.large(chunk, size)
+	if size > maxBufferedBytes {
+		return a.startStreaming(chunk, size)
 	}
-	a.held = append(a.held, chunk...)
+	a.buffered = append(a.buffered, chunk...)
 	return nil, nil
 }
 
-// complete adds to a message whose first bytes are held.
-func (a *answer) complete(chunk []byte) ([]byte, error) {
+// completeBuffered adds bytes to the buffered message, handles it if it is
+// complete, and returns the rest of chunk.
+func (a *answerRelay) completeBuffered(chunk []byte) ([]byte, error) {
 	need := headerSize
-	if size := messageSize(a.held); size > 0 {
+	if size := messageSize(a.buffered); size > 0 {
 		need = size
 	}
-	n := min(need-len(a.held), len(chunk))
-	a.held = append(a.held, chunk[:n]...)
+	n := min(need-len(a.buffered), len(chunk))
+	a.buffered = append(a.buffered, chunk[:n]...)
 	chunk = chunk[n:]
-	size := messageSize(a.held)
-	if size > maxHeld {
-		held := a.held
-		a.held = nil
-		_, err := a.large(held, size)
+	size := messageSize(a.buffered)
+	if size > maxBufferedBytes {
+		buffered := a.buffered
+		a.buffered = nil
+		_, err := a.startStreaming(buffered, size)
 		return chunk, err
 	}
-	if size == 0 || len(a.held) < size {
+	if size == 0 || len(a.buffered) < size {
 		return chunk, nil
 	}
-	err := a.handle(a.held)
-	a.held = a.held[:0]
+	err := a.handleMessage(a.buffered)
+	a.buffered = a.buffered[:0]
 	return chunk, err
 }
 
-// large begins to pass on a message in parts.
-func (a *answer) large(chunk []byte, size int) ([]byte, error) {
-	if err := a.account(chunk[0]); err != nil {
+// startStreaming begins to pass on a large message of size bytes in parts.
+func (a *answerRelay) startStreaming(chunk []byte, size int) ([]byte, error) {
+	if err := a.matchExpected(chunk[0]); err != nil {
 		return nil, err
 	}
-	a.passing = size
-	return a.pass(chunk)
+	a.streamRemaining = size
+	return a.streamPart(chunk)
 }
 
-// messageSize returns the whole size of the message that begins here; zero if
-// the header is incomplete.
+// messageSize returns the size, with header, of the message at the start of b;
+// zero if the header is incomplete.
 func messageSize(b []byte) int {
 	if len(b) < headerSize {
 		return 0
@@ -107,7 +115,7 @@
 	return 1 + max(4, int(binary.BigEndian.Uint32(b[1:])))
 }
 
-func (a *answer) handle(message []byte) error {
+func (a *answerRelay) handleMessage(message []byte) error {
 	kind := message[0]
 	if a.ready {
 		return &fault.IO{Op: "read answer", Err: &protocolError{detail: "bytes after the end of the answer"}}
@@ -117,41 +125,42 @@
 		a.ready = true
 		return nil
 	case 'S', 'K', 'A':
-		// Parameters and notifications of a shared connection are not this
-		// caller's.
+		// ParameterStatus, BackendKeyData and NotificationResponse concern the
+		// shared upstream connection, not this caller.
 		return nil
 	case 'N':
 		return a.conn.writer.add(message)
 	case 'G', 'H', 'W':
 		return &fault.Unsupported{Feature: "COPY"}
 	}
-	if kind == '1' && a.hidden() {
+	if kind == '1' && a.skipInjectedParse() {
 		return nil
 	}
-	if err := a.account(kind); err != nil {
+	if err := a.matchExpected(kind); err != nil {
 		return err
 	}
 	return a.conn.writer.add(message)
 }
 
-// hidden reports whether the answer belongs to a Parse that the caller did not
-// send, and counts it.
-func (a *answer) hidden() bool {
+// skipInjectedParse reports whether a ParseComplete answers a Parse that the
+// proxy added, and removes that Parse from the expected answers.
+func (a *answerRelay) skipInjectedParse() bool {
 	if a.ops == nil {
 		return false
 	}
-	if err := a.own(); err != nil || len(a.ops) == 0 {
+	if err := a.sendLocalAnswers(); err != nil || len(a.ops) == 0 {
 		return false
 	}
-	if a.ops[0].kind != opHidden {
+	if a.ops[0].kind != opInjectedParse {
 		return false
 	}
 	a.ops = a.ops[1:]
 	return true
 }
 
-// account keeps the expected answers in step with the answer.
-func (a *answer) account(kind byte) error {
+// matchExpected advances the expected answers past a message of type kind.
+// After an ErrorResponse no further answers are expected up to ReadyForQuery.
+func (a *answerRelay) matchExpected(kind byte) error {
 	if a.ops == nil {
 		a.failed = a.failed || kind == 'E'
 		return nil
@@ -161,17 +170,18 @@
 		a.ops = a.ops[:0]
 		return nil
 	}
-	if err := a.own(); err != nil {
+	if err := a.sendLocalAnswers(); err != nil {
 		return err
 	}
-	if len(a.ops) > 0 && ends(a.ops[0].kind, kind) {
+	if len(a.ops) > 0 && completesAnswer(a.ops[0].kind, kind) {
 		a.ops = a.ops[1:]
 	}
 	return nil
 }
 
-// own sends the proxy's own answers that come next.
-func (a *answer) own() error {
+// sendLocalAnswers sends the proxy's own answers up to the next one that the
+// upstream has to give.
+func (a *answerRelay) sendLocalAnswers() error {
 	for len(a.ops) > 0 && a.ops[0].kind == opLocal {
 		next := a.ops[0]
 		a.ops = a.ops[1:]
@@ -182,8 +192,9 @@
 	return nil
 }
 
-// ends reports whether a message completes the answer to an operation.
-func ends(op opKind, message byte) bool {
+// completesAnswer reports whether a message of this type ends the answer to an
+// operation.
+func completesAnswer(op opKind, message byte) bool {
 	switch op {
 	case opParse:
 		return message == '1'
@@ -199,15 +210,15 @@
 	return false
 }
 
-// torn reports whether a part of a message has gone to the caller.
-func (a *answer) torn() bool { return a.passing > 0 }
+// partlySent reports whether a message to the caller is incomplete.
+func (a *answerRelay) partlySent() bool { return a.streamRemaining > 0 }
 
-// restart drops what has arrived and reports whether the caller has seen
-// nothing of it.
-func (a *answer) restart(ops []op) bool {
-	if a.torn() || !a.conn.writer.rewind(a.mark) {
+// restart discards the answer for a retry of the batch, with ops as the expected
+// answers. It returns false if bytes of the answer were sent to the caller.
+func (a *answerRelay) restart(ops []op) bool {
+	if a.partlySent() || !a.conn.writer.rewind(a.writerMark) {
 		return false
 	}
-	*a = answer{conn: a.conn, ops: ops, mark: a.mark}
+	*a = answerRelay{conn: a.conn, ops: ops, writerMark: a.writerMark}
 	return true
 }
--- a/caller/pgcaller/auth.go
+++ b/caller/pgcaller/auth.go
@@ -10,7 +10,8 @@
 	"lovageslip/pgscram"
 )
 
-// AuthConn lets an Authenticator talk with the caller.
+// AuthConn lets an Authenticator exchange authentication messages with the
+// caller.
 type AuthConn interface {
 	// Send writes an authentication request.
 	Send(message pgproto3.BackendMessage) error
@@ -19,8 +20,8 @@
 	Receive() ([]byte, error)
 }
 
-// Authenticator decides whether a caller may connect. It is safe for
-// concurrent use. An error refuses the caller.
+// Authenticator decides whether a caller may connect. An error refuses the
+// caller. Implementations must be safe for concurrent use.
 type Authenticator interface {
 	Authenticate(ctx context.Context, startup Startup, conn AuthConn) error
 }
@@ -31,9 +32,9 @@
 // Authenticate implements Authenticator.
 func (Trust) Authenticate(context.Context, Startup, AuthConn) error { return nil }
 
-// SCRAM accepts callers that prove by SCRAM-SHA-256 that they know the password
-// of their user. A user that does not exist is refused by the same messages,
-// after the same work, as a wrong password.
+// SCRAM authenticates callers by SCRAM-SHA-256. An unknown user is refused with
+// the same messages and after the same work as a wrong password, so that a
+// caller cannot find out which users exist.
 type SCRAM struct {
 	verifier *pgscram.Verifier
 }
@@ -51,39 +52,40 @@
 // Authenticate implements Authenticator.
 func (s *SCRAM) Authenticate(_ context.Context, startup Startup, conn AuthConn) error {
 	err := s.verifier.Verify(startup.User, conn)
-	var refused *pgscram.Refused
-	if errors.As(err, &refused) {
-		return &badPassword{user: startup.User}
+	var failed *pgscram.AuthenticationFailed
+	if errors.As(err, &failed) {
+		return &loginFailed{user: startup.User}
 	}
 	return err
 }
 
-// badPassword reports a login that failed, whether or not the user exists.
-type badPassword struct{ user string }
+// loginFailed reports a login that failed, whether or not the user exists.
+type loginFailed struct{ user string }
 
-func (e *badPassword) Error() string {
+func (e *loginFailed) Error() string {
 	return "password authentication failed for user \"" + e.user + "\""
 }
-func (*badPassword) sqlState() string { return codeBadPassword }
+func (*loginFailed) sqlState() string { return codeInvalidPassword }
 
-// noteRefusal logs and counts a failed login. The end of a connection that
-// broke during the login is no refusal.
-func (c *conn) noteRefusal(startup Startup, err error) {
-	var refused *badPassword
-	if !errors.As(err, &refused) {
+// recordRefusal logs and counts a login with a wrong user or password. A
+// connection that broke during the login is not counted.
+func (c *conn) recordRefusal(startup Startup, err error) {
+	var failed *loginFailed
+	if !errors.As(err, &failed) {
 		return
 	}
 	c.server.metrics.Counter("logins_refused_total").Inc(1)
 	c.server.log.Info("caller refused", "user", startup.User, "remote", startup.RemoteAddr, "error", err)
 }
 
-// tlsRequired refuses a caller that did not ask for TLS.
+// tlsRequired reports a caller that did not ask for TLS although
+// Options.RequireTLS is set.
 type tlsRequired struct{}
 
 func (*tlsRequired) Error() string    { return "connections without TLS are not accepted" }
 func (*tlsRequired) sqlState() string { return codeNotAuthorized }
 
-// authConn adapts a connection for authenticators.
+// authConn implements AuthConn for the login of one connection.
 type authConn struct {
 	*conn
 	deadline time.Time
@@ -95,14 +97,14 @@
 	return a.flush()
 }
 
-// Receive implements AuthConn. All password messages together have to arrive
-// before the deadline of the start-up, so that a caller that sends slowly
-// holds its connection no longer than that.
+// Receive implements AuthConn. The read timeout of each password message is the
+// time left until the start-up deadline, so that a caller that sends slowly
+// cannot hold its connection longer.
 func (a *authConn) Receive() ([]byte, error) {
 	timeout := a.reader.timeout
 	defer func() { a.reader.timeout = timeout }()
 	a.reader.timeout = time.Until(a.deadline)
-	kind, body, err := a.reader.next(maxStartup)
+	kind, body, err := a.reader.next(maxStartupPacketBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/caller/pgcaller/auth_test.go
+++ b/caller/pgcaller/auth_test.go
@@ -31,7 +31,7 @@
 	wrongPassword = "staple-of-secrets"
 )
 
-// logBuffer collects a log of every level.
+// logBuffer collects the log output of a server.
 type logBuffer struct {
 	mu  sync.Mutex // guards buf
 	buf bytes.Buffer
@@ -59,15 +59,15 @@
 	}
 }
 
-func login(ctx context.Context, h *host, user, password, parameters string) (*pgx.Conn, error) {
+func login(ctx context.Context, h *testHost, user, password, parameters string) (*pgx.Conn, error) {
 	return pgx.Connect(ctx, fmt.Sprintf("postgres://%s:%s@%s/shop?%s", user, password, h.address, parameters))
 }
 
 func assertSQLState(t testing.TB, err error, want string) {
 	t.Helper()
-	var answered *pgconn.PgError
-	assert.Assert(t, errors.As(err, &answered), "%v", err)
-	assert.Equal(t, answered.Code, want)
+	var pgErr *pgconn.PgError
+	assert.Assert(t, errors.As(err, &pgErr), "%v", err)
+	assert.Equal(t, pgErr.Code, want)
 }
 
 // Guards against a login that is accepted without the password, and against
@@ -93,14 +93,15 @@
 	}
 }
 
-// transcript is what a caller sees of a login that fails, without its nonces.
-func transcript(t testing.TB, h *host, user string) []string {
+// transcript returns what the server answers to a login of user with a wrong
+// password, without the nonces.
+func transcript(t testing.TB, h *testHost, user string) []string {
 	t.Helper()
-	network, err := net.Dial("tcp", h.address)
+	netConn, err := net.Dial("tcp", h.address)
 	assert.NilError(t, err)
-	defer network.Close()
-	assert.NilError(t, network.SetDeadline(time.Now().Add(30*time.Second)))
-	frontend := pgproto3.NewFrontend(network, network)
+	defer netConn.Close()
+	assert.NilError(t, netConn.SetDeadline(time.Now().Add(30*time.Second)))
+	frontend := pgproto3.NewFrontend(netConn, netConn)
 	frontend.Send(&pgproto3.StartupMessage{
 		ProtocolVersion: pgproto3.ProtocolVersion30,
 		Parameters:      map[string]string{"user": user, "database": "shop"},
@@ -135,7 +136,7 @@
 	}
 }
 
-// Guards against answers that tell which users exist.
+// Guards against answers that reveal which users exist.
 func TestUnknownUserLooksLikeWrongPassword(t *testing.T) {
 	h := startLocal(t, &fakeOwner{}, withPasswords(t, &logBuffer{}))
 	known, unknown := transcript(t, h, "app"), transcript(t, h, "nobody")
@@ -145,16 +146,16 @@
 
 // Guards against a caller that holds a connection by sending its password
 // messages slowly.
-func TestLoginEndsWithTheStartUpTime(t *testing.T) {
+func TestLoginEndsAtStartupTimeout(t *testing.T) {
 	h := startLocal(t, &fakeOwner{}, withPasswords(t, &logBuffer{}), func(o *pgcaller.Options) {
 		o.StartupTimeout = 2 * time.Second
 		o.ReadTimeout = time.Hour
 	})
-	network, err := net.Dial("tcp", h.address)
+	netConn, err := net.Dial("tcp", h.address)
 	assert.NilError(t, err)
-	defer network.Close()
-	assert.NilError(t, network.SetDeadline(time.Now().Add(30*time.Second)))
-	frontend := pgproto3.NewFrontend(network, network)
+	defer netConn.Close()
+	assert.NilError(t, netConn.SetDeadline(time.Now().Add(30*time.Second)))
+	frontend := pgproto3.NewFrontend(netConn, netConn)
 	frontend.Send(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: map[string]string{"user": "app"}})
 	assert.NilError(t, frontend.Flush())
 	_, err = frontend.Receive()
@@ -172,11 +173,12 @@
 	return func(o *pgcaller.Options) { o.TLS = config }
 }
 
-// slowBatch is longer than a batch may run before its caller is watched.
+// slowBatch is longer than watchDelay, after which the caller's connection is
+// watched for a disconnect.
 const slowBatch = 30 * time.Millisecond
 
-// Guards against an encrypted connection that breaks when the caller is
-// watched during a long batch, and against a certificate that is not checked.
+// Guards against a TLS connection that breaks when it is watched for a
+// disconnect during a long batch, and against a certificate that is not checked.
 func TestCallersOverTLS(t *testing.T) {
 	authority := testcert.NewAuthority(t, "site")
 	slow := func(context.Context, string, upstream.Sink) (bool, error) {
@@ -199,7 +201,7 @@
 	assert.ErrorContains(t, err, "certificate")
 }
 
-// Guards against a plaintext caller on a port that demands TLS.
+// Guards against accepting a caller without TLS where TLS is required.
 func TestPlaintextIsRefusedWhereTLSIsRequired(t *testing.T) {
 	authority := testcert.NewAuthority(t, "site")
 	require := func(o *pgcaller.Options) { o.RequireTLS = true }
@@ -211,7 +213,7 @@
 	assert.NilError(t, c.Close(context.Background()))
 }
 
-// Guards against a cancel request over TLS that does not arrive.
+// Guards against a cancel request that is lost where callers have to use TLS.
 func TestCancelOverTLS(t *testing.T) {
 	authority := testcert.NewAuthority(t, "site")
 	running := make(chan struct{}, 1)
--- a/caller/pgcaller/batch.go
+++ b/caller/pgcaller/batch.go
@@ -10,50 +10,58 @@
 )
 
 const (
-	// maxStatements and maxStatementText bound a caller's named statements.
-	maxStatements    = 2_000
-	maxStatementText = 4 << 20
+	// maxStatements and maxStatementTextBytes bound a caller's named prepared
+	// statements.
+	maxStatements         = 2_000
+	maxStatementTextBytes = 4 << 20
 	// maxOperations bounds the messages of one batch.
 	maxOperations = 20_000
 )
 
-// batch collects a caller's extended protocol messages up to Sync.
+// batch holds a caller's extended protocol messages up to Sync or Flush.
+// payload is what the upstream gets, prepared are the named statements that
+// have to exist on its connection, texts are the statements that it executes
+// and ops are the answers that the caller expects.
 type batch struct {
 	payload  []byte
 	prepared []upstream.Prepared
 	texts    []string
 	ops      []op
-	// declared lists the statements that the batch has defined and that the
-	// caller has not been told of yet.
-	declared []declaration
+	// registered lists the statements that the batch defines. Those without a
+	// ParseComplete to the caller are dropped if the batch fails.
+	registered []registration
 	// unnamedSent is true once the payload defines the unnamed statement.
 	unnamedSent bool
 	// forward is true if an upstream has to see the batch.
 	forward bool
-	// local is true if the batch executes a statement that the proxy answers.
-	local bool
-	// silent is true for a batch that ended with Flush: no ReadyForQuery.
-	silent bool
-	// err refuses the whole batch: nothing of it runs.
+	// executesLocal is true if the batch executes a statement that the proxy
+	// answers itself.
+	executesLocal bool
+	// endedByFlush is true for a batch that ended with Flush instead of Sync;
+	// its answer has no ReadyForQuery.
+	endedByFlush bool
+	// err is the error that refuses the batch; nothing of it runs.
 	err error
-	// reported is true if the caller was told of err already.
-	reported bool
+	// errReported is true if err was sent to the caller already.
+	errReported bool
 }
 
-// op is a message whose answer is expected, in order.
+// op is one message of a batch for which an answer is expected. Answers come in
+// the order of the messages.
 type op struct {
 	kind opKind
-	// answer is what the proxy itself answers, for opLocal.
+	// answer sends the proxy's own answer, for opLocal.
 	answer func(c *conn) error
 }
 
 type opKind uint8
 
 const (
-	// opLocal is answered by the proxy.
+	// opLocal is answered by the proxy itself.
 	opLocal opKind = iota
-	// opHidden is a Parse that the caller did not send.
-	opHidden
+	// opInjectedParse is a Parse that the proxy added; its answer is not
+	// passed on to the caller.
+	opInjectedParse
 	opParse
 	opBind
 	opDescribe
@@ -61,11 +69,12 @@
 	opClose
 )
 
-// declaration is a statement that a batch has defined under a name.
-type declaration struct {
+// registration records that a batch defines a statement under a name. confirmed
+// is true once the caller gets its ParseComplete.
+type registration struct {
 	name      string
 	statement *statement
-	before    *statement // the unnamed statement's earlier definition
+	previous  *statement // the unnamed statement's earlier definition
 	confirmed bool
 }
 
@@ -79,10 +88,10 @@
 	if b.err != nil {
 		return nil
 	}
-	if len(b.payload)+len(body) > c.server.options.MaxMessage || len(b.ops) > maxOperations {
-		return &messageTooLarge{size: len(b.payload) + len(body), limit: c.server.options.MaxMessage}
+	if len(b.payload)+len(body) > c.server.options.MaxMessageBytes || len(b.ops) > maxOperations {
+		return &messageTooLarge{size: len(b.payload) + len(body), limit: c.server.options.MaxMessageBytes}
 	}
-	err := c.add(b, kind, body)
+	err := c.addMessage(b, kind, body)
 	if isA[*protocolError](err) {
 		return err
 	}
@@ -90,7 +99,7 @@
 	return nil
 }
 
-func (c *conn) add(b *batch, kind byte, body []byte) error {
+func (c *conn) addMessage(b *batch, kind byte, body []byte) error {
 	switch kind {
 	case 'P':
 		return c.addParse(b, body)
@@ -105,12 +114,12 @@
 }
 
 func (c *conn) addParse(b *batch, body []byte) error {
-	name, rest, ok := cutString(body)
-	text, types, ok2 := cutString(rest)
-	if !ok || !ok2 {
+	name, rest, nameOK := cutString(body)
+	text, types, textOK := cutString(rest)
+	if !nameOK || !textOK {
 		return &protocolError{detail: "malformed Parse"}
 	}
-	oids, err := parseTypes(types)
+	oids, err := parseParameterTypes(types)
 	if err != nil {
 		return err
 	}
@@ -118,70 +127,72 @@
 	if err != nil {
 		return err
 	}
-	if err := c.declare(b, name, st); err != nil {
+	if err := c.registerStatement(b, name, st); err != nil {
 		return err
 	}
 	if name == "" && st.local == nil {
 		b.append('P', body)
 		b.unnamedSent = true
-		b.expect(opParse)
+		b.expectAnswer(opParse)
 		return nil
 	}
 	if st.local == nil {
-		// The owner prepares the statement, so an error shows at once.
-		b.use(st)
+		// The owner prepares the statement in this batch, so that an error in
+		// its text is reported now and not at its first use.
+		b.addPrepared(st)
 		b.forward = true
 	}
-	b.answer(func(c *conn) error {
+	b.addLocalAnswer(func(c *conn) error {
 		b.confirm(name)
 		return c.writer.add(parseComplete)
 	})
 	return nil
 }
 
-// declare gives a statement its name for this caller.
-func (c *conn) declare(b *batch, name string, st *statement) error {
-	before := c.statements[name]
+// registerStatement stores a statement under the caller's name for it.
+// Errors: *duplicateStatement, *fault.Unsupported.
+func (c *conn) registerStatement(b *batch, name string, st *statement) error {
+	previous := c.statements[name]
 	if name != "" {
-		if before != nil && before.global == st.global {
-			// After a lost answer a caller cannot know that the statement
-			// exists, and drivers prepare it again under the same name. The
-			// same definition changes nothing.
+		if previous != nil && previous.upstreamName == st.upstreamName {
+			// A caller that lost the answer to its Parse cannot know that the
+			// statement exists, and drivers prepare it again under the same
+			// name. An equal definition is therefore accepted.
 			return nil
 		}
-		if before != nil {
-			return &repeatedName{name: name}
+		if previous != nil {
+			return &duplicateStatement{name: name}
 		}
-		if len(c.statements) >= maxStatements || c.textBytes+len(st.sql) > maxStatementText {
+		if len(c.statements) >= maxStatements || c.statementTextBytes+len(st.sql) > maxStatementTextBytes {
 			return &fault.Unsupported{Feature: "so many prepared statements at a time"}
 		}
-		c.textBytes += len(st.sql)
+		c.statementTextBytes += len(st.sql)
 	}
 	if c.statements == nil {
 		c.statements = make(map[string]*statement)
 	}
 	c.statements[name] = st
-	b.declared = append(b.declared, declaration{name: name, statement: st, before: before})
+	b.registered = append(b.registered, registration{name: name, statement: st, previous: previous})
 	return nil
 }
 
 func (b *batch) confirm(name string) {
-	for i := range b.declared {
-		if b.declared[i].name == name {
-			b.declared[i].confirmed = true
+	for i := range b.registered {
+		if b.registered[i].name == name {
+			b.registered[i].confirmed = true
 		}
 	}
 }
 
-// undeclare forgets the statements that the caller was not told of, because
-// the batch failed.
-func (c *conn) undeclare(b *batch) {
-	for i := len(b.declared) - 1; i >= 0; i-- {
-		d := b.declared[i]
-		if d.confirmed || d.name == "" || c.statements[d.name] != d.statement {
+// dropUnconfirmed removes the statements of a failed batch for which the caller
+// got no ParseComplete.
+func (c *conn) dropUnconfirmed(b *batch) {
+	for i := len(b.registered) - 1; i >= 0; i-- {
+		r := b.registered[i]
+		if r.confirmed || r.name == "" || c.statements[r.name] != r.statement {
 			continue
 		}
-		c.dropStatement(d.name)
+		c.dropStatement(r.name)
 	}
 }
 
@@ -191,29 +202,29 @@
 		return
 	}
 	if name != "" {
-		c.textBytes -= len(st.sql)
+		c.statementTextBytes -= len(st.sql)
 	}
 	delete(c.statements, name)
 }
 
 func (c *conn) addBind(b *batch, body []byte) error {
-	portal, rest, ok := cutString(body)
-	name, arguments, ok2 := cutString(rest)
-	if !ok || !ok2 {
+	portal, rest, portalOK := cutString(body)
+	name, arguments, nameOK := cutString(rest)
+	if !portalOK || !nameOK {
 		return &protocolError{detail: "malformed Bind"}
 	}
 	st := c.statements[name]
 	if st == nil {
-		return &noStatement{name: name}
+		return &statementNotFound{name: name}
 	}
 	c.setPortal(portal, st)
-	if c.localOf(st) != nil {
-		b.answer(func(c *conn) error { return c.writer.add(bindComplete) })
+	if c.localStatementFor(st) != nil {
+		b.addLocalAnswer(func(c *conn) error { return c.writer.add(bindComplete) })
 		return nil
 	}
-	c.reference(b, name, st)
-	b.appendRenamed('B', []byte(portal+"\x00"+wireName(name, st)+"\x00"), arguments)
-	b.expect(opBind)
+	c.ensureDefined(b, name, st)
+	b.appendMessage('B', []byte(portal+"\x00"+nameForUpstream(name, st)+"\x00"), arguments)
+	b.expectAnswer(opBind)
 	return nil
 }
 
@@ -224,10 +235,11 @@
 	c.portals[portal] = st
 }
 
-// reference makes the statement known to the connection that runs the batch.
-func (c *conn) reference(b *batch, name string, st *statement) {
+// ensureDefined makes sure that the statement exists on the upstream connection
+// that runs the batch.
+func (c *conn) ensureDefined(b *batch, name string, st *statement) {
 	if name != "" {
-		b.use(st)
+		b.addPrepared(st)
 		return
 	}
 	if b.unnamedSent {
@@ -237,15 +249,16 @@
 	// run on another connection.
 	b.append('P', st.parseBody())
 	b.unnamedSent = true
-	b.expect(opHidden)
+	b.expectAnswer(opInjectedParse)
 }
 
-// wireName is the name of a statement towards upstreams.
-func wireName(name string, st *statement) string {
+// nameForUpstream returns the name under which upstreams know a statement. The
+// unnamed statement stays unnamed.
+func nameForUpstream(name string, st *statement) string {
 	if name == "" {
 		return ""
 	}
-	return st.global
+	return st.upstreamName
 }
 
 func (c *conn) addDescribe(b *batch, body []byte) error {
@@ -258,29 +271,29 @@
 	}
 	st := c.statements[name]
 	if st == nil {
-		return &noStatement{name: name}
+		return &statementNotFound{name: name}
 	}
-	if local := c.localOf(st); local != nil {
-		b.answer(func(c *conn) error { return local.describe(c, true) })
+	if local := c.localStatementFor(st); local != nil {
+		b.addLocalAnswer(func(c *conn) error { return local.describe(c, true) })
 		return nil
 	}
-	c.reference(b, name, st)
-	b.appendRenamed('D', []byte("S"+wireName(name, st)+"\x00"), nil)
-	b.expect(opDescribe)
+	c.ensureDefined(b, name, st)
+	b.appendMessage('D', []byte("S"+nameForUpstream(name, st)+"\x00"), nil)
+	b.expectAnswer(opDescribe)
 	return nil
 }
 
 func (c *conn) describePortal(b *batch, name string, body []byte) error {
 	st := c.portals[name]
 	if st == nil {
-		return &noStatement{name: name}
+		return &statementNotFound{name: name}
 	}
-	if local := c.localOf(st); local != nil {
-		b.answer(func(c *conn) error { return local.describe(c, false) })
+	if local := c.localStatementFor(st); local != nil {
+		b.addLocalAnswer(func(c *conn) error { return local.describe(c, false) })
 		return nil
 	}
 	b.append('D', body)
-	b.expect(opDescribe)
+	b.expectAnswer(opDescribe)
 	return nil
 }
 
@@ -291,29 +304,29 @@
 	}
 	st := c.portals[name]
 	if st == nil {
-		return &noStatement{name: name}
+		return &statementNotFound{name: name}
 	}
-	if local := c.localOf(st); local != nil {
+	if local := c.localStatementFor(st); local != nil {
 		if len(b.texts) > 0 {
-			return mixed
+			return errMixedBatch
 		}
-		b.local = true
-		b.answer(func(c *conn) error { return local.execute(c, false) })
+		b.executesLocal = true
+		b.addLocalAnswer(func(c *conn) error { return local.execute(c, false) })
 		return nil
 	}
-	if b.local {
-		return mixed
+	if b.executesLocal {
+		return errMixedBatch
 	}
-	if c.lost {
+	if c.transactionLost {
 		return &failedTransaction{}
 	}
 	b.texts = append(b.texts, st.sql)
 	b.append('E', body)
-	b.expect(opExecute)
+	b.expectAnswer(opExecute)
 	return nil
 }
 
-var mixed = &fault.Unsupported{Feature: "a statement that the proxy answers (SET, SHOW or RESET) in one batch with others"}
+var errMixedBatch = &fault.Unsupported{Feature: "a statement that the proxy answers (SET, SHOW or RESET) in one batch with others"}
 
 func (c *conn) addClose(b *batch, body []byte) error {
 	kind, name, ok := cutTarget(body)
@@ -322,50 +335,51 @@
 	}
 	if kind == 'P' && c.inTransaction {
 		b.append('C', body)
-		b.expect(opClose)
+		b.expectAnswer(opClose)
 		return nil
 	}
 	if kind == 'S' {
 		c.dropStatement(name)
 	}
-	b.answer(func(c *conn) error { return c.writer.add(closeComplete) })
+	b.addLocalAnswer(func(c *conn) error { return c.writer.add(closeComplete) })
 	return nil
 }
 
-// use adds the definition of a named statement once.
-func (b *batch) use(st *statement) {
+// addPrepared adds the definition of a named statement unless the batch has it.
+func (b *batch) addPrepared(st *statement) {
 	for _, p := range b.prepared {
-		if p.Name == st.global {
+		if p.Name == st.upstreamName {
 			return
 		}
 	}
-	b.prepared = append(b.prepared, upstream.Prepared{Name: st.global, SQL: st.sql, ParameterOIDs: st.oids})
+	b.prepared = append(b.prepared, upstream.Prepared{Name: st.upstreamName, SQL: st.sql, ParameterOIDs: st.oids})
 }
 
-// binds reports whether the batch creates a portal.
-func (b *batch) binds() bool {
+// hasBind reports whether the batch creates a portal.
+func (b *batch) hasBind() bool {
 	return slices.ContainsFunc(b.ops, func(o op) bool { return o.kind == opBind })
 }
 
-func (b *batch) expect(kind opKind) {
+func (b *batch) expectAnswer(kind opKind) {
 	b.forward = true
 	b.ops = append(b.ops, op{kind: kind})
 }
 
-func (b *batch) answer(f func(c *conn) error) {
+func (b *batch) addLocalAnswer(f func(c *conn) error) {
 	b.ops = append(b.ops, op{kind: opLocal, answer: f})
 }
 
-func (b *batch) append(kind byte, body []byte) { b.appendRenamed(kind, body, nil) }
+func (b *batch) append(kind byte, body []byte) { b.appendMessage(kind, body, nil) }
 
-func (b *batch) appendRenamed(kind byte, head, tail []byte) {
+func (b *batch) appendMessage(kind byte, head, tail []byte) {
 	b.payload = append(b.payload, kind)
 	b.payload = binary.BigEndian.AppendUint32(b.payload, uint32(4+len(head)+len(tail)))
 	b.payload = append(b.payload, head...)
 	b.payload = append(b.payload, tail...)
 }
 
-// Encoded answers without a body.
+// Encoded messages that have no body: three answers that the proxy sends itself
+// and the Sync at the end of a batch's payload.
 var (
 	parseComplete = []byte{'1', 0, 0, 0, 4}
 	bindComplete  = []byte{'2', 0, 0, 0, 4}
@@ -373,7 +387,8 @@
 	syncMessage   = []byte{'S', 0, 0, 0, 4}
 )
 
-// cutString cuts a zero-terminated string off. The string is a copy.
+// cutString splits a zero-terminated string off the start of body. The string
+// is a copy.
 func cutString(body []byte) (text string, rest []byte, ok bool) {
 	end := bytes.IndexByte(body, 0)
 	if end < 0 {
@@ -382,7 +397,8 @@
 	return string(body[:end]), body[end+1:], true
 }
 
-// cutTarget reads the kind ('S' or 'P') and name of Describe and Close.
+// cutTarget reads the object type ('S' statement, 'P' portal) and the name from
+// the body of a Describe or Close.
 func cutTarget(body []byte) (kind byte, name string, ok bool) {
 	if len(body) < 2 || body[0] != 'S' && body[0] != 'P' {
 		return 0, "", false
@@ -391,7 +407,7 @@
 	return body[0], name, ok
 }
 
-func parseTypes(body []byte) ([]uint32, error) {
+func parseParameterTypes(body []byte) ([]uint32, error) {
 	if len(body) < 2 {
 		return nil, &protocolError{detail: "malformed Parse"}
 	}
--- a/caller/pgcaller/bench_test.go
+++ b/caller/pgcaller/bench_test.go
@@ -9,11 +9,11 @@
 // BenchmarkOneRowRead measures a prepared one-row read through the proxy to a
 // fake owner, per statement over all callers.
 func BenchmarkOneRowRead(b *testing.B) {
-	b.Run("local", func(b *testing.B) { readRows(b, startLocal(b, &fakeOwner{forgetful: true})) })
-	b.Run("remote", func(b *testing.B) { readRows(b, startRemote(b, &fakeOwner{forgetful: true})) })
+	b.Run("local", func(b *testing.B) { readRows(b, startLocal(b, &fakeOwner{discardRecords: true})) })
+	b.Run("remote", func(b *testing.B) { readRows(b, startRemote(b, &fakeOwner{discardRecords: true})) })
 }
 
-func readRows(b *testing.B, h *host) {
+func readRows(b *testing.B, h *testHost) {
 	b.ReportAllocs()
 	b.SetParallelism(8)
 	b.RunParallel(func(pb *testing.PB) {
--- a/caller/pgcaller/caller_test.go
+++ b/caller/pgcaller/caller_test.go
@@ -7,8 +7,8 @@
 )
 
 func TestStatementsReachLocalAndRemoteOwner(t *testing.T) {
-	starts := map[string]func(testing.TB, *fakeOwner) *host{
-		"local":  func(t testing.TB, o *fakeOwner) *host { return startLocal(t, o) },
+	starts := map[string]func(testing.TB, *fakeOwner) *testHost{
+		"local":  func(t testing.TB, o *fakeOwner) *testHost { return startLocal(t, o) },
 		"remote": startRemote,
 	}
 	for name, start := range starts {
--- a/caller/pgcaller/conn.go
+++ b/caller/pgcaller/conn.go
@@ -14,73 +14,75 @@
 	"lovageslip/upstream"
 )
 
-// conn is one caller's connection. One goroutine serves it; drain, abort and
-// cancel may be called from others.
+// conn is one caller's connection. One goroutine serves it; drain and abort,
+// and Cancel of its session, may be called from others.
 type conn struct {
 	server  *Server
 	session *entry.Session
 	reader  reader
 	writer  writer
-	key     key
-
-	statements map[string]*statement
-	textBytes  int // size of the named statements' texts
-	portals    map[string]*statement
-	batch      *batch
-	settings   map[string]string
-	// lost is true after an open transaction was lost, until the caller ends it.
-	lost bool
+	key     cancelKey
+
+	statements         map[string]*statement
+	statementTextBytes int // total size of the named statements' texts
+	portals            map[string]*statement
+	batch              *batch
+	parameters         map[string]string
+	// transactionLost is true from the loss of an open transaction, for
+	// example with its upstream connection, until the caller ends it.
+	transactionLost bool
 	// inTransaction is true while a transaction is open.
 	inTransaction bool
-	// failed is true while the open transaction has failed in the database.
-	failed bool
-	// secure is true once the caller has asked for TLS and got it.
-	secure bool
+	// transactionFailed is true while the open transaction is in the failed
+	// state in the database.
+	transactionFailed bool
+	// encrypted is true once the caller's request for TLS was accepted.
+	encrypted bool
 
 	mu       sync.Mutex
-	network  net.Conn // guarded by mu against drain and abort
+	netConn  net.Conn // guarded by mu against drain and abort
 	idle     bool     // guarded by mu: waiting for a request outside a transaction
 	draining bool     // guarded by mu
 }
 
-func newConn(server *Server, network net.Conn) *conn {
+func newConn(server *Server, netConn net.Conn) *conn {
 	return &conn{
 		server:  server,
-		network: network,
-		reader:  newReader(network, server.options.ReadTimeout),
-		writer:  writer{conn: network, timeout: server.options.WriteTimeout},
+		netConn: netConn,
+		reader:  newReader(netConn, server.options.ReadTimeout),
+		writer:  writer{conn: netConn, timeout: server.options.WriteTimeout},
 	}
 }
 
-// setNetwork replaces the transport after a TLS handshake request.
-func (c *conn) setNetwork(network net.Conn) {
+// setNetConn replaces the plain transport by TLS after an SSLRequest.
+func (c *conn) setNetConn(netConn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.network = network
-	c.reader.conn = network
-	c.writer.conn = network
+	c.netConn = netConn
+	c.reader.conn = netConn
+	c.writer.conn = netConn
 }
 
-// serve runs the connection to its end.
+// serve runs start-up and then handles messages until the connection ends.
 func (c *conn) serve() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	defer c.close()
 	proceed, err := c.start(ctx)
 	for err == nil && proceed {
-		proceed, err = c.step(ctx)
+		proceed, err = c.handleNext(ctx)
 	}
 	if err != nil {
-		c.end(err)
+		c.sendFatal(err)
 	}
 }
 
-// step handles one message. It returns false when the caller says goodbye.
-func (c *conn) step(ctx context.Context) (bool, error) {
-	if err := c.await(); err != nil {
+// handleNext handles one message. It returns false on Terminate.
+func (c *conn) handleNext(ctx context.Context) (bool, error) {
+	if err := c.awaitMessage(); err != nil {
 		return false, err
 	}
-	kind, body, err := c.reader.next(c.server.options.MaxMessage)
+	kind, body, err := c.reader.next(c.server.options.MaxMessageBytes)
 	if err != nil {
 		return false, err
 	}
@@ -90,30 +92,33 @@
 	return true, c.handle(ctx, kind, body)
 }
 
-// await blocks until the caller's next message begins.
-func (c *conn) await() error {
+// awaitMessage blocks until the first byte of the caller's next message has
+// arrived. Without a batch or transaction the connection is idle meanwhile: it
+// holds no large buffer, and a shutdown may end it.
+func (c *conn) awaitMessage() error {
 	if c.reader.buffered() > 0 {
 		return nil
 	}
 	if err := c.flush(); err != nil {
 		return err
 	}
-	if c.batch != nil || c.inTransaction || c.lost {
-		return c.reader.await()
+	if c.batch != nil || c.inTransaction || c.transactionLost {
+		return c.reader.awaitInput()
 	}
 	c.reader.shrink()
 	c.writer.release()
 	if !c.beginIdle() {
-		return &shuttingDown{}
+		return &serverShuttingDown{}
 	}
-	err := c.reader.await()
+	err := c.reader.awaitInput()
 	if c.endIdle() && err != nil {
-		return &shuttingDown{}
+		return &serverShuttingDown{}
 	}
 	return err
 }
 
-// beginIdle returns false if the connection is to end.
+// beginIdle marks the connection idle. It returns false if the server is
+// shutting down and the connection has to end.
 func (c *conn) beginIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,26 +126,26 @@
 	return c.idle
 }
 
-// endIdle reports whether the connection is to end. A request that arrived
-// together with the shutdown still runs.
+// endIdle clears the idle mark and reports whether the server is shutting down.
+// A request that arrived at the same time as the shutdown still runs.
 func (c *conn) endIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = false
 	if c.draining {
 		// drain has set a deadline in the past.
-		_ = c.network.SetReadDeadline(time.Time{})
+		_ = c.netConn.SetReadDeadline(time.Time{})
 	}
 	return c.draining
 }
 
-// drain ends the connection as soon as no transaction is open.
+// drain makes the connection end as soon as no batch or transaction is open.
 func (c *conn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.draining = true
 	if c.idle {
-		_ = c.network.SetReadDeadline(time.Unix(1, 0))
+		_ = c.netConn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
@@ -148,20 +153,21 @@
 func (c *conn) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_ = c.network.Close()
+	_ = c.netConn.Close()
 }
 
-// end tells the caller why the connection ends, if it can still be told.
-func (c *conn) end(err error) {
+// sendFatal sends the caller the error that ends the connection, unless the
+// connection itself failed.
+func (c *conn) sendFatal(err error) {
 	var io *fault.IO
 	if errors.As(err, &io) {
-		c.server.log.Debug("caller is gone", "error", err)
+		c.server.log.Debug("caller connection lost", "error", err)
 		return
 	}
 	response := fatalResponse(err)
 	c.server.metrics.Tagged(map[string]string{"code": response.Code}).Counter("callers_ended_total").Inc(1)
 	c.send(response)
-	_ = c.flush() // the caller may be gone
+	_ = c.flush() // fails if the caller has disconnected
 }
 
 func (c *conn) close() {
@@ -178,19 +184,20 @@
 func (c *conn) handle(ctx context.Context, kind byte, body []byte) error {
 	switch kind {
 	case 'Q':
-		return c.simple(ctx, body)
+		return c.handleQuery(ctx, body)
 	case 'P', 'B', 'D', 'E', 'C':
 		return c.collect(kind, body)
 	case 'H':
-		return c.flushRequest(ctx)
+		return c.handleFlush(ctx)
 	case 'S':
-		return c.sync(ctx)
+		return c.handleSync(ctx)
 	case 'F':
 		c.send(errorResponse(&fault.Unsupported{Feature: "the function call message"}))
 		c.sendReady()
 		return nil
 	case 'd', 'c', 'f':
-		// Copy data after a refused COPY is ignored, as a server does.
+		// CopyData, CopyDone and CopyFail after a refused COPY are ignored, as
+		// PostgreSQL does.
 		return nil
 	}
 	return &protocolError{detail: "unexpected message"}
@@ -200,11 +207,11 @@
 
 func (c *conn) flush() error { return c.writer.flush() }
 
-// sendReady reports the transaction state.
+// sendReady sends ReadyForQuery with the transaction state.
 func (c *conn) sendReady() {
 	state := byte('I')
 	switch {
-	case c.lost || c.failed:
+	case c.transactionLost || c.transactionFailed:
 		state = 'E'
 	case c.inTransaction:
 		state = 'T'
@@ -212,9 +219,9 @@
 	c.send(&pgproto3.ReadyForQuery{TxStatus: state})
 }
 
-func (c *conn) setState(state upstream.TransactionState) {
+func (c *conn) setTransactionState(state upstream.TransactionState) {
 	c.inTransaction = state != upstream.StateIdle
-	c.failed = state == upstream.StateFailed
+	c.transactionFailed = state == upstream.StateFailed
 	if !c.inTransaction {
 		c.portals = nil
 	}
--- a/caller/pgcaller/errors.go
+++ b/caller/pgcaller/errors.go
@@ -13,25 +13,25 @@
 
 // SQLSTATE codes that callers see.
 const (
-	codeNotRun           = "57L01"
-	codeAlreadyCommitted = "57L02"
-	codeOutcomeUnknown   = "40003"
-	codeBadToken         = "28L01"
-	codeBadPassword      = "28P01"
-	codeNotAuthorized    = "28000"
-	codeInvalid          = "22023"
-	codeUnsupported      = "0A000"
-	codeUnknownDatabase  = "3D000"
-	codeCancelled        = "57014"
-	codeReadOnly         = "25006"
-	codeProtocol         = "08P01"
-	codeTooLarge         = "54000"
-	codeAdminShutdown    = "57P01"
-	codeNoStatement      = "26000"
-	codeRepeatedName     = "42P05"
-	codeFailedState      = "25P02"
-	codeUndefinedObject  = "42704"
-	codeInternal         = "XX000"
+	codeNotRun             = "57L01"
+	codeAlreadyCommitted   = "57L02"
+	codeOutcomeUnknown     = "40003"
+	codeBadToken           = "28L01"
+	codeInvalidPassword    = "28P01"
+	codeNotAuthorized      = "28000"
+	codeInvalid            = "22023"
+	codeUnsupported        = "0A000"
+	codeUnknownDatabase    = "3D000"
+	codeCancelled          = "57014"
+	codeReadOnly           = "25006"
+	codeProtocol           = "08P01"
+	codeTooLarge           = "54000"
+	codeAdminShutdown      = "57P01"
+	codeUndefinedStatement = "26000"
+	codeDuplicateStatement = "42P05"
+	codeFailedTransaction  = "25P02"
+	codeUndefinedObject    = "42704"
+	codeInternal           = "XX000"
 )
 
 const (
@@ -39,8 +39,9 @@
 	severityFatal = "FATAL"
 )
 
-// errorResponse maps an error to what a caller sees. It is the only place
-// where faults become SQLSTATEs.
+// errorResponse returns the ErrorResponse for an error after which the
+// connection goes on. Errors are mapped to SQLSTATEs only here and in
+// fatalResponse, by describe.
 func errorResponse(err error) *pgproto3.ErrorResponse {
 	response := describe(err)
 	response.Severity = severityError
@@ -48,6 +49,7 @@
 	return response
 }
 
+// fatalResponse returns the ErrorResponse for an error that ends the connection.
 func fatalResponse(err error) *pgproto3.ErrorResponse {
 	response := describe(err)
 	response.Severity = severityFatal
@@ -76,7 +78,7 @@
 			Detail:  string(fault.ReasonAlreadyCommitted),
 		}
 	}
-	return &pgproto3.ErrorResponse{Code: codeOf(err), Message: err.Error()}
+	return &pgproto3.ErrorResponse{Code: sqlStateOf(err), Message: err.Error()}
 }
 
 func describeNotRun(e *fault.NotRun) *pgproto3.ErrorResponse {
@@ -96,10 +98,10 @@
 	return response
 }
 
-func codeOf(err error) string {
-	var own coded
-	if errors.As(err, &own) {
-		return own.sqlState()
+func sqlStateOf(err error) string {
+	var target sqlStateError
+	if errors.As(err, &target) {
+		return target.sqlState()
 	}
 	switch {
 	case isA[*fault.UnknownClass](err), isA[*fault.Invalid](err), isA[*entry.NoDefaultClass](err):
@@ -119,19 +121,22 @@
 	return errors.As(err, &target)
 }
 
-// coded is an error of this package with its SQLSTATE.
-type coded interface {
+// sqlStateError is an error that knows its own SQLSTATE; only errors of this
+// package implement it.
+type sqlStateError interface {
 	error
 	sqlState() string
 }
 
-// protocolError reports bytes that are no valid message. The connection ends.
+// protocolError reports bytes or messages that violate the protocol. It ends
+// the connection.
 type protocolError struct{ detail string }
 
 func (e *protocolError) Error() string  { return "protocol violation: " + e.detail }
 func (*protocolError) sqlState() string { return codeProtocol }
 
-// messageTooLarge reports a message or batch over the limit. The connection ends.
+// messageTooLarge reports a message or batch over its size limit. It ends the
+// connection.
 type messageTooLarge struct{ size, limit int }
 
 func (e *messageTooLarge) Error() string {
@@ -139,36 +144,41 @@
 }
 func (*messageTooLarge) sqlState() string { return codeTooLarge }
 
-// shuttingDown ends an idle caller.
-type shuttingDown struct{}
+// serverShuttingDown ends an idle connection during Server.Shutdown.
+type serverShuttingDown struct{}
 
-func (*shuttingDown) Error() string    { return "terminating connection: the proxy is shutting down" }
-func (*shuttingDown) sqlState() string { return codeAdminShutdown }
+func (*serverShuttingDown) Error() string {
+	return "terminating connection: the proxy is shutting down"
+}
+func (*serverShuttingDown) sqlState() string { return codeAdminShutdown }
 
-// noStatement reports an unknown prepared statement or portal.
-type noStatement struct{ name string }
+// statementNotFound reports a prepared statement or portal that does not exist.
+type statementNotFound struct{ name string }
 
-func (e *noStatement) Error() string {
+func (e *statementNotFound) Error() string {
 	return "prepared statement or portal \"" + e.name + "\" does not exist"
 }
-func (*noStatement) sqlState() string { return codeNoStatement }
+func (*statementNotFound) sqlState() string { return codeUndefinedStatement }
 
-// repeatedName reports a prepared statement that exists already.
-type repeatedName struct{ name string }
+// duplicateStatement reports a Parse with the name of an existing statement of
+// another definition.
+type duplicateStatement struct{ name string }
 
-func (e *repeatedName) Error() string  { return "prepared statement \"" + e.name + "\" already exists" }
-func (*repeatedName) sqlState() string { return codeRepeatedName }
+func (e *duplicateStatement) Error() string {
+	return "prepared statement \"" + e.name + "\" already exists"
+}
+func (*duplicateStatement) sqlState() string { return codeDuplicateStatement }
 
-// failedTransaction refuses statements of a transaction that was lost.
+// failedTransaction refuses statements until the caller ends a lost transaction.
 type failedTransaction struct{}
 
 func (*failedTransaction) Error() string {
 	return "current transaction is aborted, commands ignored until end of transaction block"
 }
-func (*failedTransaction) sqlState() string { return codeFailedState }
+func (*failedTransaction) sqlState() string { return codeFailedTransaction }
 
-// unknownSetting reports a parameter that the proxy does not keep.
-type unknownSetting struct{ name string }
+// unknownParameter reports a parameter that the proxy does not define.
+type unknownParameter struct{ name string }
 
-func (e *unknownSetting) Error() string  { return "unrecognized parameter \"" + e.name + "\"" }
-func (*unknownSetting) sqlState() string { return codeUndefinedObject }
+func (e *unknownParameter) Error() string  { return "unrecognized parameter \"" + e.name + "\"" }
+func (*unknownParameter) sqlState() string { return codeUndefinedObject }
--- a/caller/pgcaller/fake_test.go
+++ b/caller/pgcaller/fake_test.go
@@ -22,11 +22,11 @@
 	"lovageslip/upstream"
 )
 
-// directory is a fixed view.
-type directory struct{ view *registry.View }
+// fixedDirectory is a registry.Directory whose view never changes.
+type fixedDirectory struct{ view *registry.View }
 
-func (d directory) View() *registry.View     { return d.view }
-func (d directory) Changed() <-chan struct{} { return nil }
+func (d fixedDirectory) View() *registry.View     { return d.view }
+func (d fixedDirectory) Changed() <-chan struct{} { return nil }
 
 func testView(address string) *registry.View {
 	return &registry.View{
@@ -45,7 +45,7 @@
 	}
 }
 
-// execution is what a fake upstream saw of one statement.
+// execution records one statement that a fakeOwner has executed.
 type execution struct {
 	text      string
 	mode      upstream.Mode
@@ -53,14 +53,16 @@
 	stream    *fakeStream
 }
 
-// fakeOwner answers batches as a server would, by the text of each statement.
+// fakeOwner stands in for an owner and its upstream: it executes batches and
+// answers each statement by its text.
 type fakeOwner struct {
-	// answer overrides the answer to a text; it returns false for the default.
+	// answer overrides the answer to a text; it returns false for the default
+	// answer.
 	answer func(ctx context.Context, text string, sink upstream.Sink) (handled bool, err error)
 
-	// forgetful keeps no record, for long benchmarks.
-	forgetful bool
-	// skipReady leaves ReadyForQuery to answer.
+	// discardRecords turns off the record of executions, for long benchmarks.
+	discardRecords bool
+	// skipReady is true if answer sends ReadyForQuery itself.
 	skipReady bool
 
 	mu        sync.Mutex
@@ -109,33 +111,33 @@
 	if s.state == 0 {
 		s.state = upstream.StateIdle
 	}
-	run := &fakeRun{stream: s, batch: batch, ctx: ctx, sink: sink, named: map[string]string{}, portals: map[string]string{}}
+	run := &fakeRun{stream: s, batch: batch, ctx: ctx, sink: sink, statements: map[string]string{}, portals: map[string]string{}}
 	for _, p := range batch.Prepared {
-		run.named[p.Name] = p.SQL
+		run.statements[p.Name] = p.SQL
 	}
-	return run.all()
+	return run.runAll()
 }
 
-// fakeRun interprets the messages of one batch.
+// fakeRun executes the messages of one batch and collects the answer.
 type fakeRun struct {
-	stream  *fakeStream
-	batch   upstream.Batch
-	ctx     context.Context
-	sink    upstream.Sink
-	out     []byte
-	named   map[string]string
-	portals map[string]string
-	done    exchange.Done
+	stream     *fakeStream
+	batch      upstream.Batch
+	ctx        context.Context
+	sink       upstream.Sink
+	out        []byte
+	statements map[string]string
+	portals    map[string]string
+	done       exchange.Done
 }
 
-func (r *fakeRun) all() (exchange.Done, error) {
+func (r *fakeRun) runAll() (exchange.Done, error) {
 	backend := pgproto3.NewBackend(strings.NewReader(string(r.batch.Payload)), nil)
 	for {
 		message, err := backend.Receive()
 		if err != nil {
 			break
 		}
-		if err := r.message(message); err != nil {
+		if err := r.handle(message); err != nil {
 			return exchange.Done{}, err
 		}
 	}
@@ -152,39 +154,39 @@
 
 func (r *fakeRun) send(message pgproto3.BackendMessage) { r.out, _ = message.Encode(r.out) }
 
-func (r *fakeRun) message(message pgproto3.FrontendMessage) error {
+func (r *fakeRun) handle(message pgproto3.FrontendMessage) error {
 	switch m := message.(type) {
 	case *pgproto3.Query:
 		if err := r.execute(m.String, true); err != nil {
 			return err
 		}
-		r.ready()
+		r.sendReady()
 	case *pgproto3.Parse:
-		r.named[m.Name] = m.Query
+		r.statements[m.Name] = m.Query
 		r.send(&pgproto3.ParseComplete{})
 	case *pgproto3.Bind:
-		r.portals[m.DestinationPortal] = r.named[m.PreparedStatement]
+		r.portals[m.DestinationPortal] = r.statements[m.PreparedStatement]
 		r.send(&pgproto3.BindComplete{})
 	case *pgproto3.Describe:
 		if m.ObjectType == 'S' {
 			r.send(&pgproto3.ParameterDescription{})
 		}
-		r.send(row())
+		r.send(rowDescription())
 	case *pgproto3.Execute:
 		return r.execute(r.portals[m.Portal], false)
 	case *pgproto3.Close:
 		r.send(&pgproto3.CloseComplete{})
 	case *pgproto3.Sync:
-		r.ready()
+		r.sendReady()
 	}
 	return nil
 }
 
-func row() *pgproto3.RowDescription {
+func rowDescription() *pgproto3.RowDescription {
 	return &pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{{Name: []byte("text"), DataTypeOID: 25, DataTypeSize: -1, TypeModifier: -1}}}
 }
 
-func (r *fakeRun) ready() {
+func (r *fakeRun) sendReady() {
 	if r.stream.owner.skipReady {
 		return
 	}
@@ -195,7 +197,7 @@
 func (r *fakeRun) execute(text string, simple bool) error {
 	o := r.stream.owner
 	o.mu.Lock()
-	if !o.forgetful {
+	if !o.discardRecords {
 		o.executed = append(o.executed, execution{text: text, mode: r.batch.Mode, requestID: r.batch.RequestID, stream: r.stream})
 	}
 	o.mu.Unlock()
@@ -210,11 +212,11 @@
 			return err
 		}
 	}
-	r.byKeyword(text, simple)
+	r.answerByKeyword(text, simple)
 	return nil
 }
 
-func (r *fakeRun) byKeyword(text string, simple bool) {
+func (r *fakeRun) answerByKeyword(text string, simple bool) {
 	keyword, _ := entry.FirstKeyword(text)
 	switch keyword {
 	case "BEGIN":
@@ -230,7 +232,7 @@
 		}
 	default:
 		if simple {
-			r.send(row())
+			r.send(rowDescription())
 		}
 		r.send(&pgproto3.DataRow{Values: [][]byte{[]byte(text)}})
 	}
@@ -244,8 +246,8 @@
 	r.done.Commit = upstream.Position{Term: 1, Offset: r.stream.owner.committed}
 }
 
-// host is a running entry proxy in front of a fake owner.
-type host struct {
+// testHost is a running entry proxy in front of a fake owner.
+type testHost struct {
 	server  *pgcaller.Server
 	entry   *entry.Entry
 	address string
@@ -264,13 +266,13 @@
 const ownerAddress = "127.0.0.1:1"
 
 // startLocal starts a proxy whose owner is in the same process.
-func startLocal(t testing.TB, owner *fakeOwner, change ...func(*pgcaller.Options)) *host {
+func startLocal(t testing.TB, owner *fakeOwner, change ...func(*pgcaller.Options)) *testHost {
 	t.Helper()
 	return start(t, owner, &exchange.Local{Address: ownerAddress, Handler: owner}, ownerAddress, change...)
 }
 
 // startRemote starts a proxy whose owner is behind the connect-go transport.
-func startRemote(t testing.TB, owner *fakeOwner) *host {
+func startRemote(t testing.TB, owner *fakeOwner) *testHost {
 	t.Helper()
 	address := serveHTTP(t, func() (string, http.Handler) { return exchange.NewServer(owner) })
 	client := exchange.NewClient(exchange.ClientOptions{})
@@ -292,11 +294,11 @@
 	return listener.Addr().String()
 }
 
-func start(t testing.TB, owner *fakeOwner, gateway exchange.Gateway, address string, change ...func(*pgcaller.Options)) *host {
+func start(t testing.TB, owner *fakeOwner, gateway exchange.Gateway, address string, change ...func(*pgcaller.Options)) *testHost {
 	t.Helper()
 	owner.cancels = make(chan struct{}, 1)
 	e := entry.New(entry.Options{
-		Directory:  directory{testView(address)},
+		Directory:  fixedDirectory{testView(address)},
 		Gateway:    gateway,
 		Tokens:     newTokens(t),
 		HostName:   "p1",
@@ -306,7 +308,7 @@
 	for _, f := range change {
 		f(&options)
 	}
-	h := &host{server: pgcaller.New(options), entry: e, owner: owner, serving: make(chan error, 1)}
+	h := &testHost{server: pgcaller.New(options), entry: e, owner: owner, serving: make(chan error, 1)}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	h.address = listener.Addr().String()
@@ -319,7 +321,7 @@
 	return h
 }
 
-func (h *host) connect(t testing.TB, parameters string) *pgx.Conn {
+func (h *testHost) connect(t testing.TB, parameters string) *pgx.Conn {
 	t.Helper()
 	c, err := pgx.Connect(t.Context(), "postgres://app@"+h.address+"/shop?sslmode=disable"+parameters)
 	assert.NilError(t, err)
--- a/caller/pgcaller/memory_test.go
+++ b/caller/pgcaller/memory_test.go
@@ -10,11 +10,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// maxIdleBytes is the design's limit of memory per idle caller.
+// maxIdleBytes is the limit on the memory that one idle caller may take.
 const maxIdleBytes = 16 << 10
 
-// idleCallers is how many connections the measurement holds open. Each takes
-// two file descriptors of this process.
+// idleCallers is the number of connections that the measurement holds open. Each
+// takes two file descriptors of this process.
 const idleCallers = 3000
 
 // TestIdleCallerStaysUnderItsMemoryLimit guards against buffers that are kept
@@ -28,39 +28,39 @@
 
 func measureIdle(t testing.TB, callers int) uint64 {
 	h := startLocal(t, &fakeOwner{})
-	before := inUse()
+	before := memoryInUse()
 	connections := make([]net.Conn, callers)
 	workers := pool.New().WithMaxGoroutines(16)
 	for i := range connections {
 		workers.Go(func() { connections[i] = idleCaller(t, h.address) })
 	}
 	workers.Wait()
-	after := inUse()
+	after := memoryInUse()
 	runtime.KeepAlive(connections)
 	return (after - before) / uint64(callers)
 }
 
-// idleCaller connects, runs a statement and reads the answer.
+// idleCaller connects, runs a statement, reads the answer and stays connected.
 func idleCaller(t testing.TB, address string) net.Conn {
-	network, err := net.Dial("tcp", address)
+	netConn, err := net.Dial("tcp", address)
 	assert.Check(t, err)
-	t.Cleanup(func() { network.Close() })
+	t.Cleanup(func() { netConn.Close() })
 	startup, _ := (&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30,
 		Parameters: map[string]string{"user": "app", "database": "shop"}}).Encode(nil)
-	roundTrip(t, network, startup)
+	roundTrip(t, netConn, startup)
 	query, _ := (&pgproto3.Query{String: "select 1"}).Encode(nil)
-	roundTrip(t, network, query)
-	return network
+	roundTrip(t, netConn, query)
+	return netConn
 }
 
 // roundTrip reads up to ReadyForQuery, which ends an answer.
-func roundTrip(t testing.TB, network net.Conn, message []byte) {
-	_, err := network.Write(message)
+func roundTrip(t testing.TB, netConn net.Conn, message []byte) {
+	_, err := netConn.Write(message)
 	assert.Check(t, err)
 	buffer := make([]byte, 4096)
 	n := 0
 	for n < 6 || buffer[n-6] != 'Z' {
-		read, err := network.Read(buffer[n:])
+		read, err := netConn.Read(buffer[n:])
 		if err != nil {
 			assert.Check(t, err)
 			return
@@ -69,9 +69,9 @@
 	}
 }
 
-// inUse is the memory of heap and stacks after two collections, because stacks
-// shrink by half at each.
-func inUse() uint64 {
+// memoryInUse returns the bytes in use by heap and stacks. It runs several
+// garbage collections first, because each only halves a stack.
+func memoryInUse() uint64 {
 	for range 4 {
 		runtime.GC()
 	}
--- a/caller/pgcaller/protocol_test.go
+++ b/caller/pgcaller/protocol_test.go
@@ -21,26 +21,26 @@
 
 func dial(t testing.TB, address string) net.Conn {
 	t.Helper()
-	network, err := net.Dial("tcp", address)
+	netConn, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
-	t.Cleanup(func() { network.Close() })
-	return network
+	t.Cleanup(func() { netConn.Close() })
+	return netConn
 }
 
-// started returns a raw connection after start-up.
-func started(t testing.TB, h *host) (net.Conn, *pgproto3.Frontend) {
+// connectRaw returns a raw connection after start-up.
+func connectRaw(t testing.TB, h *testHost) (net.Conn, *pgproto3.Frontend) {
 	t.Helper()
-	network := dial(t, h.address)
-	frontend := pgproto3.NewFrontend(network, network)
+	netConn := dial(t, h.address)
+	frontend := pgproto3.NewFrontend(netConn, netConn)
 	frontend.Send(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30,
 		Parameters: map[string]string{"user": "app", "database": "shop"}})
 	assert.NilError(t, frontend.Flush())
-	until[*pgproto3.ReadyForQuery](t, frontend)
-	return network, frontend
+	receiveUntil[*pgproto3.ReadyForQuery](t, frontend)
+	return netConn, frontend
 }
 
-// until receives messages up to one of a type.
-func until[T pgproto3.BackendMessage](t testing.TB, frontend *pgproto3.Frontend) T {
+// receiveUntil receives messages until one has type T and returns it.
+func receiveUntil[T pgproto3.BackendMessage](t testing.TB, frontend *pgproto3.Frontend) T {
 	t.Helper()
 	for {
 		message, err := frontend.Receive()
@@ -51,64 +51,64 @@
 	}
 }
 
-// ends asserts that the server closes a connection.
-func ends(t testing.TB, network net.Conn) {
+// assertClosed asserts that the server closes a connection.
+func assertClosed(t testing.TB, netConn net.Conn) {
 	t.Helper()
-	assert.NilError(t, network.SetReadDeadline(time.Now().Add(10*time.Second)))
-	_, err := io.Copy(io.Discard, network)
+	assert.NilError(t, netConn.SetReadDeadline(time.Now().Add(10*time.Second)))
+	_, err := io.Copy(io.Discard, netConn)
 	if err != nil {
 		timeout, ok := err.(net.Error)
 		assert.Assert(t, !ok || !timeout.Timeout(), "the connection was not closed")
 	}
 }
 
-func TestGarbageBeforeStartUpEndsTheConnection(t *testing.T) {
+func TestMalformedStartupPacketClosesConnection(t *testing.T) {
 	h := startLocal(t, &fakeOwner{})
 	for _, garbage := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x04....", "\x00\x00\x00\x08\x00\x09\x00\x00", "\x00\x00\x00\x09\x00\x03\x00\x00x"} {
-		network := dial(t, h.address)
-		_, err := network.Write([]byte(garbage))
+		netConn := dial(t, h.address)
+		_, err := netConn.Write([]byte(garbage))
 		assert.NilError(t, err)
-		ends(t, network)
+		assertClosed(t, netConn)
 	}
 }
 
-func TestHalfAStartUpPacketEndsAtTheTimeout(t *testing.T) {
+func TestPartialStartupPacketTimesOut(t *testing.T) {
 	h := startLocal(t, &fakeOwner{}, func(o *pgcaller.Options) { o.StartupTimeout = 20 * time.Millisecond })
-	network := dial(t, h.address)
-	_, err := network.Write([]byte{0, 0, 0, 50, 0, 3})
+	netConn := dial(t, h.address)
+	_, err := netConn.Write([]byte{0, 0, 0, 50, 0, 3})
 	assert.NilError(t, err)
-	ends(t, network)
+	assertClosed(t, netConn)
 }
 
-func TestGarbageHeaderAfterStartUpIsAProtocolError(t *testing.T) {
+func TestMalformedHeaderIsProtocolError(t *testing.T) {
 	h := startLocal(t, &fakeOwner{})
 	for _, garbage := range []string{"\xff\xff\xff\xff\xff\xff", "Q\xff\xff\xff\xff", "Q\x00\x00\x00\x00"} {
-		network, frontend := started(t, h)
-		_, err := network.Write([]byte(garbage))
+		netConn, frontend := connectRaw(t, h)
+		_, err := netConn.Write([]byte(garbage))
 		assert.NilError(t, err)
-		assert.Equal(t, until[*pgproto3.ErrorResponse](t, frontend).Code, "08P01")
-		ends(t, network)
+		assert.Equal(t, receiveUntil[*pgproto3.ErrorResponse](t, frontend).Code, "08P01")
+		assertClosed(t, netConn)
 	}
 }
 
 func TestOversizedMessageIsRefusedBeforeItArrives(t *testing.T) {
-	h := startLocal(t, &fakeOwner{}, func(o *pgcaller.Options) { o.MaxMessage = 1000 })
-	network, frontend := started(t, h)
-	_, err := network.Write(binary.BigEndian.AppendUint32([]byte{'Q'}, 2000))
+	h := startLocal(t, &fakeOwner{}, func(o *pgcaller.Options) { o.MaxMessageBytes = 1000 })
+	netConn, frontend := connectRaw(t, h)
+	_, err := netConn.Write(binary.BigEndian.AppendUint32([]byte{'Q'}, 2000))
 	assert.NilError(t, err)
-	assert.Equal(t, until[*pgproto3.ErrorResponse](t, frontend).Code, "54000")
-	ends(t, network)
+	assert.Equal(t, receiveUntil[*pgproto3.ErrorResponse](t, frontend).Code, "54000")
+	assertClosed(t, netConn)
 }
 
-func TestSlowWriterEndsAtTheTimeout(t *testing.T) {
+func TestPartialMessageTimesOut(t *testing.T) {
 	h := startLocal(t, &fakeOwner{}, func(o *pgcaller.Options) { o.ReadTimeout = 20 * time.Millisecond })
-	network, _ := started(t, h)
-	_, err := network.Write([]byte{'Q', 0, 0, 0, 20, 's'})
+	netConn, _ := connectRaw(t, h)
+	_, err := netConn.Write([]byte{'Q', 0, 0, 0, 20, 's'})
 	assert.NilError(t, err)
-	ends(t, network)
+	assertClosed(t, netConn)
 }
 
-func TestSlowReaderEndsAtTheTimeoutAndFreesItsBatch(t *testing.T) {
+func TestSlowReaderTimesOutAndEndsItsBatch(t *testing.T) {
 	failed := make(chan struct{})
 	owner := &fakeOwner{}
 	owner.answer = func(_ context.Context, _ string, sink upstream.Sink) (bool, error) {
@@ -121,7 +121,7 @@
 		}
 	}
 	h := startLocal(t, owner, func(o *pgcaller.Options) { o.WriteTimeout = 50 * time.Millisecond })
-	_, frontend := started(t, h)
+	_, frontend := connectRaw(t, h)
 	frontend.Send(&pgproto3.Query{String: "select big"})
 	assert.NilError(t, frontend.Flush())
 	<-failed
@@ -131,7 +131,7 @@
 	value := strings.Repeat("x", 300_000)
 	owner := &fakeOwner{}
 	owner.answer = func(_ context.Context, text string, sink upstream.Sink) (bool, error) {
-		all := encode(row())
+		all := encode(rowDescription())
 		for range 3 {
 			all = append(all, encode(&pgproto3.DataRow{Values: [][]byte{[]byte(value)}})...)
 		}
@@ -154,7 +154,7 @@
 	assert.Assert(t, got[2] == value)
 }
 
-func TestDriversModesAllWork(t *testing.T) {
+func TestDriverQueryModes(t *testing.T) {
 	owner := &fakeOwner{}
 	h := startLocal(t, owner)
 	for _, mode := range []pgx.QueryExecMode{pgx.QueryExecModeCacheStatement, pgx.QueryExecModeCacheDescribe,
@@ -176,8 +176,8 @@
 	}
 }
 
-func TestUnnamedStatementOutlivesItsBatch(t *testing.T) {
-	_, frontend := started(t, startLocal(t, &fakeOwner{}))
+func TestUnnamedStatementSurvivesSync(t *testing.T) {
+	_, frontend := connectRaw(t, startLocal(t, &fakeOwner{}))
 	frontend.Send(&pgproto3.Parse{Query: "select 7"})
 	frontend.Send(&pgproto3.Sync{})
 	frontend.Send(&pgproto3.Bind{})
@@ -199,12 +199,12 @@
 }
 
 func TestFlushAnswersAPreparedStatementBeforeSync(t *testing.T) {
-	_, frontend := started(t, startLocal(t, &fakeOwner{}))
+	_, frontend := connectRaw(t, startLocal(t, &fakeOwner{}))
 	frontend.Send(&pgproto3.Parse{Name: "s", Query: "select 7"})
 	frontend.Send(&pgproto3.Describe{ObjectType: 'S', Name: "s"})
 	frontend.Send(&pgproto3.Flush{})
 	assert.NilError(t, frontend.Flush())
-	receiveTypes(t, frontend, []pgproto3.BackendMessage{&pgproto3.ParseComplete{}, &pgproto3.ParameterDescription{}, row()})
+	receiveTypes(t, frontend, []pgproto3.BackendMessage{&pgproto3.ParseComplete{}, &pgproto3.ParameterDescription{}, rowDescription()})
 	frontend.Send(&pgproto3.Bind{PreparedStatement: "s"})
 	frontend.Send(&pgproto3.Execute{})
 	frontend.Send(&pgproto3.Close{ObjectType: 'S', Name: "s"})
@@ -214,13 +214,14 @@
 		&pgproto3.CommandComplete{}, &pgproto3.CloseComplete{}, &pgproto3.ReadyForQuery{}})
 }
 
-// Guards against a caller that can never prepare a statement again: its first
-// try broke off after ParseComplete, and drivers then use the name once more.
+// Guards against a caller that can never prepare its statement again. The answer
+// to the first batch broke off after ParseComplete, and drivers then repeat the
+// Parse under the same name.
 func TestStatementPreparedAgainAfterLostAnswer(t *testing.T) {
 	owner := &fakeOwner{}
 	h := startLocal(t, owner)
-	network, frontend := started(t, h)
-	assert.NilError(t, network.SetDeadline(time.Now().Add(10*time.Second)))
+	netConn, frontend := connectRaw(t, h)
+	assert.NilError(t, netConn.SetDeadline(time.Now().Add(10*time.Second)))
 	owner.answer = func(_ context.Context, _ string, sink upstream.Sink) (bool, error) {
 		return true, errors.Join(sink(nil), &fault.OutcomeUnknown{Reason: fault.ReasonOutcomeUnknown, Detail: "link lost"})
 	}
@@ -229,8 +230,8 @@
 	frontend.Send(&pgproto3.Execute{})
 	frontend.Send(&pgproto3.Sync{})
 	assert.NilError(t, frontend.Flush())
-	until[*pgproto3.ErrorResponse](t, frontend)
-	until[*pgproto3.ReadyForQuery](t, frontend)
+	receiveUntil[*pgproto3.ErrorResponse](t, frontend)
+	receiveUntil[*pgproto3.ReadyForQuery](t, frontend)
 	frontend.Send(&pgproto3.Parse{Name: "s", Query: "update t"})
 	frontend.Send(&pgproto3.Sync{})
 	assert.NilError(t, frontend.Flush())
@@ -239,7 +240,7 @@
 		assert.NilError(t, err)
 		switch m := message.(type) {
 		case *pgproto3.ErrorResponse:
-			t.Fatalf("prepared again: %s %s", m.Code, m.Message)
+			t.Fatalf("the second Parse of the statement was refused: %s %s", m.Code, m.Message)
 		case *pgproto3.ReadyForQuery:
 			return
 		}
--- a/caller/pgcaller/reader.go
+++ b/caller/pgcaller/reader.go
@@ -11,41 +11,43 @@
 )
 
 const (
-	// idleBuffer is the read buffer of an idle caller. Most requests fit, so
-	// that they take one read.
-	idleBuffer = 512
-	// busyBuffer is the size of pooled buffers for larger messages.
-	busyBuffer = 16 << 10
-	headerSize = 5
+	// idleBufferBytes is the size of an idle caller's read buffer. Most
+	// requests fit into it and take one read.
+	idleBufferBytes = 512
+	// pooledBufferBytes is the size of the buffers in bufferPool, for larger
+	// messages and for answers.
+	pooledBufferBytes = 16 << 10
+	headerSize        = 5
 )
 
-var busyBuffers = sync.Pool{New: func() any {
-	b := make([]byte, busyBuffer)
+var bufferPool = sync.Pool{New: func() any {
+	b := make([]byte, pooledBufferBytes)
 	return &b
 }}
 
-// reader splits a caller's bytes into messages. Its buffer grows with the bytes
-// that have arrived, never with the length that a header claims, and shrinks
-// when the caller is idle.
+// reader splits a caller's byte stream into messages. Its buffer grows with the
+// bytes that have arrived, never with the length in a message header, so that a
+// false length allocates nothing. It shrinks when the caller is idle. The bytes
+// not yet used are buf[start:end].
 type reader struct {
-	conn    net.Conn
-	timeout time.Duration
-	small   []byte
-	buf     []byte
-	pooled  *[]byte
-	r, w    int
+	conn       net.Conn
+	timeout    time.Duration
+	small      []byte
+	buf        []byte
+	pooled     *[]byte
+	start, end int
 }
 
 func newReader(conn net.Conn, timeout time.Duration) reader {
-	small := make([]byte, idleBuffer)
+	small := make([]byte, idleBufferBytes)
 	return reader{conn: conn, timeout: timeout, small: small, buf: small}
 }
 
-// buffered returns how many bytes have arrived and were not used yet.
-func (r *reader) buffered() int { return r.w - r.r }
+// buffered returns the number of bytes that have arrived but are not used yet.
+func (r *reader) buffered() int { return r.end - r.start }
 
-// await blocks without a deadline of its own until a byte has arrived.
-func (r *reader) await() error {
+// awaitInput blocks until at least one byte is buffered. It sets no deadline.
+func (r *reader) awaitInput() error {
 	if r.buffered() > 0 {
 		return nil
 	}
@@ -53,29 +55,30 @@
 }
 
 // next returns the next message. The body is valid until the following call.
+// Errors: *protocolError, *messageTooLarge, *fault.IO.
 func (r *reader) next(maxBody int) (kind byte, body []byte, err error) {
-	if err := r.ensure(headerSize); err != nil {
+	if err := r.readAtLeast(headerSize); err != nil {
 		return 0, nil, err
 	}
-	header := r.buf[r.r:]
+	header := r.buf[r.start:]
 	size := int(int32(binary.BigEndian.Uint32(header[1:]))) - 4
 	kind = header[0]
-	if !knownMessage(kind) || size < 0 {
+	if !isCallerMessage(kind) || size < 0 {
 		return 0, nil, &protocolError{detail: "malformed message header"}
 	}
 	if size > maxBody {
 		return 0, nil, &messageTooLarge{size: size, limit: maxBody}
 	}
-	if err := r.ensure(headerSize + size); err != nil {
+	if err := r.readAtLeast(headerSize + size); err != nil {
 		return 0, nil, err
 	}
-	start := r.r + headerSize
-	r.r = start + size
-	return kind, r.buf[start:r.r:r.r], nil
+	bodyStart := r.start + headerSize
+	r.start = bodyStart + size
+	return kind, r.buf[bodyStart:r.start:r.start], nil
 }
 
-// ensure blocks until n bytes have arrived, within the read timeout.
-func (r *reader) ensure(n int) error {
+// readAtLeast blocks until n bytes are buffered, for at most the read timeout.
+func (r *reader) readAtLeast(n int) error {
 	if r.buffered() >= n {
 		return nil
 	}
@@ -93,11 +96,11 @@
 	return nil
 }
 
-// fill reads once.
+// fill makes one read into the free part of the buffer.
 func (r *reader) fill() error {
 	r.makeRoom()
-	n, err := r.conn.Read(r.buf[r.w:])
-	r.w += n
+	n, err := r.conn.Read(r.buf[r.end:])
+	r.end += n
 	if n > 0 {
 		return nil
 	}
@@ -108,56 +111,57 @@
 }
 
 func (r *reader) makeRoom() {
-	if r.r == r.w {
-		r.r, r.w = 0, 0
+	if r.start == r.end {
+		r.start, r.end = 0, 0
 	}
-	if r.w < len(r.buf) {
+	if r.end < len(r.buf) {
 		return
 	}
-	if r.r > 0 {
-		r.w = copy(r.buf, r.buf[r.r:r.w])
-		r.r = 0
+	if r.start > 0 {
+		r.end = copy(r.buf, r.buf[r.start:r.end])
+		r.start = 0
 		return
 	}
 	r.grow()
 }
 
 func (r *reader) grow() {
-	if r.pooled == nil && len(r.buf) < busyBuffer {
-		larger := busyBuffers.Get().(*[]byte)
-		r.w = copy(*larger, r.buf[:r.w])
+	if r.pooled == nil && len(r.buf) < pooledBufferBytes {
+		larger := bufferPool.Get().(*[]byte)
+		r.end = copy(*larger, r.buf[:r.end])
 		r.buf = *larger
 		r.pooled = larger
 		return
 	}
 	larger := make([]byte, 2*len(r.buf))
-	r.w = copy(larger, r.buf[:r.w])
+	r.end = copy(larger, r.buf[:r.end])
 	r.buf = larger
 	r.release()
 }
 
-// release gives the pooled buffer back.
+// release returns the pooled buffer to bufferPool.
 func (r *reader) release() {
 	if r.pooled == nil {
 		return
 	}
-	busyBuffers.Put(r.pooled)
+	bufferPool.Put(r.pooled)
 	r.pooled = nil
 }
 
-// shrink goes back to the small buffer if what has arrived fits there.
+// shrink switches back to the small buffer if the buffered bytes fit into it.
 func (r *reader) shrink() {
-	if len(r.buf) == idleBuffer || r.buffered() > idleBuffer {
+	if len(r.buf) == idleBufferBytes || r.buffered() > idleBufferBytes {
 		return
 	}
-	r.w = copy(r.small, r.buf[r.r:r.w])
-	r.r = 0
+	r.end = copy(r.small, r.buf[r.start:r.end])
+	r.start = 0
 	r.buf = r.small
 	r.release()
 }
 
-// knownMessage reports whether a byte starts a message of a caller.
-func knownMessage(kind byte) bool {
+// isCallerMessage reports whether kind is the type byte of a message that
+// callers may send.
+func isCallerMessage(kind byte) bool {
 	switch kind {
 	case 'B', 'C', 'D', 'E', 'F', 'H', 'P', 'Q', 'S', 'X', 'c', 'd', 'f', 'p':
 		return true
--- a/caller/pgcaller/run.go
+++ b/caller/pgcaller/run.go
@@ -9,8 +9,8 @@
 	"lovageslip/upstream"
 )
 
-// simple handles a Query message.
-func (c *conn) simple(ctx context.Context, body []byte) error {
+// handleQuery handles a Query message.
+func (c *conn) handleQuery(ctx context.Context, body []byte) error {
 	text, rest, ok := cutString(body)
 	if !ok || len(rest) > 0 {
 		return &protocolError{detail: "malformed Query"}
@@ -20,17 +20,17 @@
 	}
 	st, err := c.newStatement(text, nil)
 	if err != nil {
-		return c.refused(err)
+		return c.sendRefusal(err)
 	}
-	if local := c.localOf(st); local != nil {
-		return c.runLocal(local)
+	if local := c.localStatementFor(st); local != nil {
+		return c.answerLocalQuery(local)
 	}
 	b := &batch{texts: []string{text}}
 	b.append('Q', body)
 	return c.run(ctx, b)
 }
 
-func (c *conn) runLocal(local *localStatement) error {
+func (c *conn) answerLocalQuery(local *localStatement) error {
 	if err := local.execute(c, true); err != nil {
 		c.send(errorResponse(err))
 	}
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// refused answers a batch of which nothing ran.
-func (c *conn) refused(err error) error {
+// sendRefusal answers a batch that was refused before any of it ran.
+func (c *conn) sendRefusal(err error) error {
 	response := errorResponse(err)
 	c.server.metrics.Tagged(map[string]string{"code": response.Code}).Counter("statements_refused_total").Inc(1)
 	c.send(response)
@@ -47,39 +47,39 @@
 	return nil
 }
 
-// sync runs the collected batch.
-func (c *conn) sync(ctx context.Context) error {
+// handleSync handles Sync: it runs the collected batch.
+func (c *conn) handleSync(ctx context.Context) error {
 	b := c.batch
 	c.batch = nil
 	if b == nil {
 		c.sendReady()
 		return nil
 	}
-	if b.reported {
+	if b.errReported {
 		c.sendReady()
 		return nil
 	}
 	if b.err != nil {
-		c.undeclare(b)
-		return c.refused(b.err)
+		c.dropUnconfirmed(b)
+		return c.sendRefusal(b.err)
 	}
 	if !b.forward {
-		return c.runOwn(b)
+		return c.answerLocalBatch(b)
 	}
 	b.payload = append(b.payload, syncMessage...)
 	return c.run(ctx, b)
 }
 
-// runOwn answers a batch that no upstream has to see.
-func (c *conn) runOwn(b *batch) error {
+// answerLocalBatch answers a batch that needs no upstream.
+func (c *conn) answerLocalBatch(b *batch) error {
 	for _, op := range b.ops {
 		if err := op.answer(c); err != nil {
 			c.send(errorResponse(err))
-			c.undeclare(b)
+			c.dropUnconfirmed(b)
 			break
 		}
 	}
-	if !b.silent {
+	if !b.endedByFlush {
 		c.sendReady()
 	}
 	if !c.inTransaction {
@@ -88,31 +88,33 @@
 	return nil
 }
 
-// flushRequest handles Flush. A batch that only prepares and describes is
-// answered at once. A batch with a portal is answered at Sync, because the
-// portal would not outlive its exchange.
-func (c *conn) flushRequest(ctx context.Context) error {
+// handleFlush handles Flush. A batch that only prepares and describes is run
+// and answered at once. A batch with a Bind is answered at Sync, because its
+// portal would end with the exchange that the flushed part runs in.
+func (c *conn) handleFlush(ctx context.Context) error {
 	b := c.batch
-	if b == nil || b.err != nil || b.local || b.binds() {
+	if b == nil || b.err != nil || b.executesLocal || b.hasBind() {
 		return nil
 	}
 	c.batch = nil
-	b.silent = true
+	b.endedByFlush = true
 	if !b.forward {
-		return c.runOwn(b)
+		return c.answerLocalBatch(b)
 	}
 	b.payload = append(b.payload, syncMessage...)
 	return c.run(ctx, b)
 }
 
-// run sends a batch through the entry and passes the answer on.
+// run sends a batch to an upstream by way of package entry and relays the
+// answer to the caller.
 func (c *conn) run(ctx context.Context, b *batch) error {
-	// Answers to earlier batches of a pipeline do not wait for this one.
+	// Flush first, so that answers to earlier batches of a pipeline do not wait
+	// for this one.
 	if err := c.flush(); err != nil {
 		return err
 	}
-	wasOpen := c.inTransaction
-	a := &answer{conn: c, ops: slices.Clone(b.ops), mark: c.writer.mark()}
+	wasInTransaction := c.inTransaction
+	a := &answerRelay{conn: c, ops: slices.Clone(b.ops), writerMark: c.writer.mark()}
 	request := entry.Request{Payload: b.payload, Prepared: b.prepared, Texts: b.texts}
 	request.Restart = func() bool { return a.restart(slices.Clone(b.ops)) }
 	reply, err := c.runWatched(ctx, request, a)
@@ -120,51 +122,53 @@
 		err = a.finish()
 	}
 	if err != nil {
-		return c.failedRun(b, a, err, wasOpen)
+		return c.reportFailedRun(b, a, err, wasInTransaction)
 	}
-	c.setState(reply.State)
+	c.setTransactionState(reply.State)
 	if a.failed {
-		c.undeclare(b)
+		c.dropUnconfirmed(b)
 	}
 	if reply.Token != "" {
-		c.status(settingSession, reply.Token)
+		c.sendParameterStatus(parameterSession, reply.Token)
 	}
-	if !b.silent {
+	if !b.endedByFlush {
 		c.sendReady()
 	}
-	if b.silent && a.failed {
-		c.batch = &batch{err: &failedTransaction{}, reported: true}
+	if b.endedByFlush && a.failed {
+		c.batch = &batch{err: &failedTransaction{}, errReported: true}
 	}
 	return nil
 }
 
-// finish checks that the answer is complete and adds the proxy's last answers.
-func (a *answer) finish() error {
-	if !a.ready || a.torn() || len(a.held) > 0 {
+// finish checks that the answer is complete and sends the proxy's own answers
+// that follow its end.
+func (a *answerRelay) finish() error {
+	if !a.ready || a.partlySent() || len(a.buffered) > 0 {
 		return &fault.OutcomeUnknown{Reason: fault.ReasonProtocol, Detail: "the answer is incomplete"}
 	}
-	return a.own()
+	return a.sendLocalAnswers()
 }
 
-// failedRun reports a batch that has no complete answer.
-func (c *conn) failedRun(b *batch, a *answer, err error, wasOpen bool) error {
+// reportFailedRun sends the error for a batch whose answer is incomplete. It
+// returns an error if the connection has to end.
+func (c *conn) reportFailedRun(b *batch, a *answerRelay, err error, wasInTransaction bool) error {
 	if c.writer.err != nil {
 		return c.writer.err
 	}
-	if a.torn() {
-		// A part of a message has gone out, so nothing else can be said.
+	if a.partlySent() {
+		// The caller has part of a message, so no error message can follow.
 		return &fault.IO{Op: "pass answer on", Err: err}
 	}
-	c.undeclare(b)
-	c.setState(upstream.StateIdle)
-	c.lost = wasOpen && !endsAny(b.texts)
+	c.dropUnconfirmed(b)
+	c.setTransactionState(upstream.StateIdle)
+	c.transactionLost = wasInTransaction && !anyEndsTransaction(b.texts)
 	c.send(errorResponse(err))
-	if b.silent {
-		c.batch = &batch{err: err, reported: true}
+	if b.endedByFlush {
+		c.batch = &batch{err: err, errReported: true}
 		return nil
 	}
 	c.sendReady()
 	return nil
 }
 
-func endsAny(texts []string) bool { return slices.ContainsFunc(texts, endsTransaction) }
+func anyEndsTransaction(texts []string) bool { return slices.ContainsFunc(texts, endsTransaction) }
--- a/caller/pgcaller/server.go
+++ b/caller/pgcaller/server.go
@@ -1,6 +1,7 @@
-// Package pgcaller speaks the PostgreSQL v3 protocol with callers. It collects
-// a caller's messages into batches, runs them through package entry and passes
-// the answers back.
+// Package pgcaller is the server side of the PostgreSQL v3 protocol: drivers
+// and psql connect to it as to a database server. It authenticates callers,
+// groups their messages into batches, runs the batches through package entry
+// and relays the answers. Package daemon starts it in each proxy.
 package pgcaller
 
 import (
@@ -20,40 +21,43 @@
 	"lovageslip/metrics"
 )
 
-// Defaults of Options.
+// Defaults for Options fields that are left zero.
 const (
-	DefaultServerVersion  = "16.0"
-	DefaultMaxMessage     = 16 << 20
-	DefaultStartupTimeout = 10 * time.Second
-	DefaultReadTimeout    = 30 * time.Second
-	DefaultWriteTimeout   = 10 * time.Second
-	DefaultMaxCallers     = 50_000
+	DefaultServerVersion   = "16.0"
+	DefaultMaxMessageBytes = 16 << 20
+	DefaultStartupTimeout  = 10 * time.Second
+	DefaultReadTimeout     = 30 * time.Second
+	DefaultWriteTimeout    = 10 * time.Second
+	DefaultMaxCallers      = 50_000
 )
 
-// Options configures a Server. Only Entry is required.
+// Options configures a Server; daemon fills it from the settings file. Only
+// Entry is required.
 type Options struct {
 	Entry *entry.Entry
-	// Authenticator checks callers; nil means Trust.
+	// Authenticator checks each caller's login; nil means Trust.
 	Authenticator Authenticator
-	// TLS enables SSLRequest; nil refuses encryption.
+	// TLS is the configuration for callers that send SSLRequest; nil declines
+	// encryption.
 	TLS *tls.Config
 	// RequireTLS refuses callers that do not ask for encryption. Cancel
-	// requests are taken either way.
+	// requests are accepted without TLS too.
 	RequireTLS bool
-	// ServerVersion is reported to callers.
+	// ServerVersion is reported to callers as parameter server_version.
 	ServerVersion string
-	// MaxMessage bounds a message and a batch, in bytes.
-	MaxMessage int
-	// StartupTimeout bounds the time from accept to the first request.
+	// MaxMessageBytes bounds the size of a message and of a batch.
+	MaxMessageBytes int
+	// StartupTimeout bounds the time from accept to the end of start-up.
 	StartupTimeout time.Duration
-	// ReadTimeout bounds the rest of a message whose first byte has arrived.
+	// ReadTimeout bounds the wait for the rest of a message after its first
+	// byte has arrived.
 	ReadTimeout time.Duration
-	// WriteTimeout bounds each write to a caller that reads slowly.
+	// WriteTimeout bounds each write to a caller.
 	WriteTimeout time.Duration
-	// MaxCallers bounds the connections.
+	// MaxCallers bounds the number of open connections.
 	MaxCallers int
-	// ForwardCancel passes a cancel request on to the host that issued the
-	// key; nil drops requests with a key of another host.
+	// ForwardCancel forwards a cancel request to the host that issued its
+	// cancel key; nil drops requests with another host's key.
 	ForwardCancel CancelForwarder
 	Log           *slog.Logger
 	Metrics       tally.Scope
@@ -66,8 +70,8 @@
 	if o.ServerVersion == "" {
 		o.ServerVersion = DefaultServerVersion
 	}
-	if o.MaxMessage == 0 {
-		o.MaxMessage = DefaultMaxMessage
+	if o.MaxMessageBytes == 0 {
+		o.MaxMessageBytes = DefaultMaxMessageBytes
 	}
 	if o.StartupTimeout == 0 {
 		o.StartupTimeout = DefaultStartupTimeout
@@ -84,7 +88,8 @@
 	return o
 }
 
-// Server serves callers. It is safe for concurrent use.
+// Server accepts callers' connections and serves each in its own goroutine. It
+// is safe for concurrent use.
 type Server struct {
 	options Options
 	entry   *entry.Entry
@@ -99,7 +104,7 @@
 	draining  bool                      // guarded by mu
 }
 
-// New returns a server.
+// New returns a server that accepts nothing until Serve is called.
 func New(options Options) *Server {
 	options = options.withDefaults()
 	return &Server{
@@ -118,8 +123,9 @@
 
 func (*ServerClosed) Error() string { return "caller server is closed" }
 
-// acceptPause is the wait after an accept that failed for lack of resources.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the wait before the next accept after one has failed,
+// for example for lack of file descriptors.
+const acceptRetryDelay = 50 * time.Millisecond
 
 // Serve accepts callers until the listener fails or Shutdown is called.
 // Errors: *ServerClosed after Shutdown, else the listener's.
@@ -129,9 +135,9 @@
 		return &ServerClosed{}
 	}
 	for {
-		network, err := listener.Accept()
+		netConn, err := listener.Accept()
 		if err == nil {
-			s.accept(network)
+			s.accept(netConn)
 			continue
 		}
 		if s.isDraining() {
@@ -140,15 +146,15 @@
 		if errors.Is(err, net.ErrClosed) {
 			return err
 		}
-		s.log.Warn("accept failed", "error", err)
-		time.Sleep(acceptPause)
+		s.log.Warn("accepting a caller connection failed", "error", err)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-func (s *Server) accept(network net.Conn) {
-	c := newConn(s, network)
+func (s *Server) accept(netConn net.Conn) {
+	c := newConn(s, netConn)
 	if !s.add(c) {
-		_ = network.Close()
+		_ = netConn.Close()
 		return
 	}
 	s.callers.Go(func() {
@@ -192,36 +198,36 @@
 	return s.draining
 }
 
-// Shutdown closes the listeners, lets batches and transactions in flight
-// finish, ends idle callers with 57P01 and returns when all callers have gone.
-// When ctx ends first, the remaining connections are closed and its error is
-// returned.
+// Shutdown closes the listeners, lets running batches and open transactions
+// finish, closes idle connections with SQLSTATE 57P01 and returns when no
+// connection is left. When ctx ends first, the remaining connections are closed
+// and its error is returned.
 func (s *Server) Shutdown(ctx context.Context) error {
 	for _, c := range s.drain() {
 		c.drain()
 	}
-	gone := make(chan struct{})
+	finished := make(chan struct{})
 	go func() {
 		s.callers.Wait()
-		close(gone)
+		close(finished)
 	}()
 	select {
-	case <-gone:
+	case <-finished:
 		return nil
 	case <-ctx.Done():
 		s.closeAll()
-		<-gone
+		<-finished
 		return ctx.Err()
 	}
 }
 
-// drain closes the listeners and returns the connections.
+// drain closes the listeners and returns the open connections.
 func (s *Server) drain() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 	for listener := range s.listeners {
-		_ = listener.Close() // Serve sees the end
+		_ = listener.Close() // makes Accept in Serve return
 	}
 	conns := make([]*conn, 0, len(s.conns))
 	for c := range s.conns {
--- a/caller/pgcaller/settings.go
+++ b/caller/pgcaller/settings.go
@@ -8,19 +8,20 @@
 	"lovageslip/fault"
 )
 
-// Parameters of the proxy.
+// Session parameters that the proxy itself defines.
 const (
-	settingPrefix    = "lovageslip."
-	settingClass     = "lovageslip.class"
-	settingSession   = "lovageslip.session"
-	settingRequestID = "lovageslip.request_id"
+	parameterPrefix    = "lovageslip."
+	parameterClass     = "lovageslip.class"
+	parameterSession   = "lovageslip.session"
+	parameterRequestID = "lovageslip.request_id"
 )
 
-// fixed are the parameters that drivers set when they connect. The proxy
-// answers them itself and accepts only values that pooled connections have:
-// the first one is the value shown. An empty list accepts any value, because
-// it has no effect on answers.
-var fixed = map[string][]string{
+// driverParameters are the parameters that drivers set when they connect, with
+// their allowed values. The proxy answers SET and SHOW of them itself and
+// accepts only the values that pooled connections have; SHOW returns the first
+// one. An empty list accepts any value, because the parameter has no effect on
+// answers.
+var driverParameters = map[string][]string{
 	"application_name":                    {},
 	"extra_float_digits":                  {},
 	"client_min_messages":                 {},
@@ -39,40 +40,41 @@
 	"idle_in_transaction_session_timeout": {"0"},
 }
 
-// shown are the values of the parameters that accept any, until they are set.
-var shown = map[string]string{
+// defaultValues are the initial values of the parameters that accept any value.
+var defaultValues = map[string]string{
 	"application_name":    "",
 	"extra_float_digits":  "1",
 	"client_min_messages": "notice",
 }
 
-// reported are the parameters whose changes a server reports.
-var reported = map[string]string{"application_name": "application_name"}
+// reportedNames maps the parameters whose changes PostgreSQL reports by
+// ParameterStatus to the names in the report.
+var reportedNames = map[string]string{"application_name": "application_name"}
 
-// maxSetting bounds the value of a parameter that accepts any, in bytes.
-const maxSetting = 256
+// maxParameterBytes bounds the length of a value where any value is accepted.
+const maxParameterBytes = 256
 
-// set changes a parameter.
+// setParameter sets a session parameter.
 // Errors: *fault.Invalid, *fault.Unsupported, and those of entry.Session.
-func (c *conn) set(name, value string) error {
+func (c *conn) setParameter(name, value string) error {
 	name = strings.ToLower(name)
 	switch name {
-	case settingClass:
+	case parameterClass:
 		return c.setClass(value)
-	case settingSession:
+	case parameterSession:
 		return c.session.SetToken(value)
-	case settingRequestID:
+	case parameterRequestID:
 		return c.session.SetRequestID(value)
 	}
-	if strings.HasPrefix(name, settingPrefix) {
-		return &unknownSetting{name: name}
+	if strings.HasPrefix(name, parameterPrefix) {
+		return &unknownParameter{name: name}
 	}
-	allowed, known := fixed[name]
+	allowed, known := driverParameters[name]
 	if !known {
 		return &fault.Unsupported{Feature: "the session parameter " + name}
 	}
 	if len(allowed) == 0 {
-		return c.keep(name, value)
+		return c.storeParameter(name, value)
 	}
 	matches := func(a string) bool { return strings.EqualFold(a, value) }
 	if !slices.ContainsFunc(allowed, matches) {
@@ -85,81 +87,83 @@
 	if err := c.session.SetClass(value); err != nil {
 		return err
 	}
-	c.status(settingClass, c.session.Class())
+	c.sendParameterStatus(parameterClass, c.session.Class())
 	return nil
 }
 
-func (c *conn) keep(name, value string) error {
-	if len(value) > maxSetting {
-		return &fault.Invalid{Field: name, Value: value[:maxSetting], Allowed: "at most 256 bytes"}
+func (c *conn) storeParameter(name, value string) error {
+	if len(value) > maxParameterBytes {
+		return &fault.Invalid{Field: name, Value: value[:maxParameterBytes], Allowed: "at most 256 bytes"}
 	}
-	if c.settings == nil {
-		c.settings = make(map[string]string)
+	if c.parameters == nil {
+		c.parameters = make(map[string]string)
 	}
-	c.settings[name] = value
-	if as, report := reported[name]; report {
-		c.status(as, value)
+	c.parameters[name] = value
+	if reportedName, report := reportedNames[name]; report {
+		c.sendParameterStatus(reportedName, value)
 	}
 	return nil
 }
 
-// show returns the value of a parameter that the proxy keeps.
-func (c *conn) show(name string) (value string, err error) {
+// parameterValue returns the value that SHOW reports. Errors: *unknownParameter.
+func (c *conn) parameterValue(name string) (value string, err error) {
 	switch name {
-	case settingClass:
+	case parameterClass:
 		return c.session.Class(), nil
-	case settingSession:
+	case parameterSession:
 		return c.session.Token(), nil
-	case settingRequestID:
+	case parameterRequestID:
 		return c.session.RequestID(), nil
 	}
-	if value, set := c.settings[name]; set {
+	if value, set := c.parameters[name]; set {
 		return value, nil
 	}
-	if value, known := shown[name]; known {
+	if value, known := defaultValues[name]; known {
 		return value, nil
 	}
-	if allowed := fixed[name]; len(allowed) > 0 {
+	if allowed := driverParameters[name]; len(allowed) > 0 {
 		return allowed[0], nil
 	}
-	return "", &unknownSetting{name: name}
+	return "", &unknownParameter{name: name}
 }
 
-// reset goes back to the parameter's value for a new session.
-func (c *conn) reset(name string) error {
+// resetParameter sets a parameter back to its value in a new session.
+func (c *conn) resetParameter(name string) error {
 	switch name {
 	case "all":
-		return c.resetAll()
-	case settingClass, settingSession, settingRequestID:
-		return c.set(name, "")
+		return c.resetAllParameters()
+	case parameterClass, parameterSession, parameterRequestID:
+		return c.setParameter(name, "")
 	}
-	if _, known := fixed[name]; !known {
+	if _, known := driverParameters[name]; !known {
 		return &fault.Unsupported{Feature: "the session parameter " + name}
 	}
-	delete(c.settings, name)
+	delete(c.parameters, name)
 	return nil
 }
 
-func (c *conn) resetAll() error {
-	c.settings = nil
-	for _, name := range []string{settingSession, settingRequestID} {
-		if err := c.set(name, ""); err != nil {
+func (c *conn) resetAllParameters() error {
+	c.parameters = nil
+	for _, name := range []string{parameterSession, parameterRequestID} {
+		if err := c.setParameter(name, ""); err != nil {
 			return err
 		}
 	}
 	return c.resetClass()
 }
 
-// resetClass forgets the class even if there is no default class.
+// resetClass returns to the default class. A session without a class is left
+// alone, because setting the empty class fails if no default class exists.
 func (c *conn) resetClass() error {
 	if c.session.Class() == "" {
 		return nil
 	}
-	return c.set(settingClass, "")
+	return c.setParameter(parameterClass, "")
 }
 
-// parseLocal returns how the proxy answers a statement; nil if an upstream
-// answers it. Errors: *fault.Unsupported, *fault.Invalid.
+// parseLocal returns the proxy's own answer to a SET, SHOW, RESET, DISCARD or
+// DEALLOCATE; nil if an upstream answers the statement.
+// Errors: *fault.Unsupported, *fault.Invalid.
 func parseLocal(text string, inTransaction bool) (*localStatement, error) {
 	keyword, rest := entry.FirstKeyword(text)
 	switch keyword {
@@ -178,35 +182,36 @@
 }
 
 func parseSet(rest string, inTransaction bool) (*localStatement, error) {
-	words := newWords(rest)
-	name := words.name()
+	scanner := newParameterScanner(rest)
+	name := scanner.name()
 	switch name {
 	case "transaction", "constraints":
 		return nil, nil
 	case "local":
-		return parseSetLocal(words, inTransaction)
+		return parseSetLocal(scanner, inTransaction)
 	case "session":
-		name = words.name()
+		name = scanner.name()
 	}
 	switch name {
 	case "time":
-		return parseTimeZone(words)
+		return parseTimeZone(scanner)
 	case "names":
-		return setLocally("client_encoding", words)
+		return parseSetValue("client_encoding", scanner)
 	case "characteristics", "authorization", "role":
 		return nil, &fault.Unsupported{Feature: "SET " + strings.ToUpper(name)}
 	}
-	if !words.assign() {
-		// The server reports the syntax error.
+	if !scanner.assignment() {
+		// Not a valid SET: the upstream reports the syntax error.
 		return nil, nil
 	}
-	return setLocally(name, words)
+	return parseSetValue(name, scanner)
 }
 
-// parseSetLocal leaves SET LOCAL to the transaction's connection.
-func parseSetLocal(words *words, inTransaction bool) (*localStatement, error) {
-	name := words.name()
-	if strings.HasPrefix(name, settingPrefix) {
+// parseSetLocal refuses SET LOCAL of the proxy's own parameters, and any SET
+// LOCAL outside a transaction. Others go to the transaction's connection.
+func parseSetLocal(scanner *parameterScanner, inTransaction bool) (*localStatement, error) {
+	name := scanner.name()
+	if strings.HasPrefix(name, parameterPrefix) {
 		return nil, &fault.Unsupported{Feature: "SET LOCAL " + name}
 	}
 	if !inTransaction {
@@ -215,75 +220,75 @@
 	return nil, nil
 }
 
-func parseTimeZone(words *words) (*localStatement, error) {
-	if words.name() != "zone" {
+func parseTimeZone(scanner *parameterScanner) (*localStatement, error) {
+	if scanner.name() != "zone" {
 		return nil, nil
 	}
-	return setLocally("timezone", words)
+	return parseSetValue("timezone", scanner)
 }
 
-func setLocally(name string, words *words) (*localStatement, error) {
-	value, err := words.value()
+func parseSetValue(name string, scanner *parameterScanner) (*localStatement, error) {
+	value, err := scanner.value()
 	if err != nil {
 		return nil, err
 	}
 	run := func(c *conn) (string, error) {
 		if strings.EqualFold(value, "default") {
-			return "", c.reset(name)
+			return "", c.resetParameter(name)
 		}
-		return "", c.set(name, value)
+		return "", c.setParameter(name, value)
 	}
 	return &localStatement{tag: "SET", run: run}, nil
 }
 
 func parseShow(rest string) *localStatement {
-	words := newWords(rest)
-	name := words.name()
-	if name == "time" && words.name() == "zone" {
+	scanner := newParameterScanner(rest)
+	name := scanner.name()
+	if name == "time" && scanner.name() == "zone" {
 		name = "timezone"
 	}
-	_, keeps := fixed[name]
-	if !keeps && !strings.HasPrefix(name, settingPrefix) {
+	_, known := driverParameters[name]
+	if !known && !strings.HasPrefix(name, parameterPrefix) {
 		return nil
 	}
-	run := func(c *conn) (string, error) { return c.show(name) }
+	run := func(c *conn) (string, error) { return c.parameterValue(name) }
 	return &localStatement{tag: "SHOW", column: name, run: run}
 }
 
 func parseReset(rest string) (*localStatement, error) {
-	name := newWords(rest).name()
-	run := func(c *conn) (string, error) { return "", c.reset(name) }
+	name := newParameterScanner(rest).name()
+	run := func(c *conn) (string, error) { return "", c.resetParameter(name) }
 	return &localStatement{tag: "RESET", run: run}, nil
 }
 
 func parseDiscard(rest string) (*localStatement, error) {
-	what := newWords(rest).name()
-	if what != "all" {
-		return nil, &fault.Unsupported{Feature: "DISCARD " + strings.ToUpper(what)}
+	target := newParameterScanner(rest).name()
+	if target != "all" {
+		return nil, &fault.Unsupported{Feature: "DISCARD " + strings.ToUpper(target)}
 	}
 	run := func(c *conn) (string, error) {
-		c.dropStatements()
-		return "", c.resetAll()
+		c.dropAllStatements()
+		return "", c.resetAllParameters()
 	}
 	return &localStatement{tag: "DISCARD ALL", run: run}, nil
 }
 
 func parseDeallocate(rest string) *localStatement {
-	words := newWords(rest)
-	name := words.name()
+	scanner := newParameterScanner(rest)
+	name := scanner.name()
 	if name == "prepare" {
-		name = words.name()
+		name = scanner.name()
 	}
 	if name == "all" {
 		run := func(c *conn) (string, error) {
-			c.dropStatements()
+			c.dropAllStatements()
 			return "", nil
 		}
 		return &localStatement{tag: "DEALLOCATE ALL", run: run}
 	}
 	run := func(c *conn) (string, error) {
 		if c.statements[name] == nil {
-			return "", &noStatement{name: name}
+			return "", &statementNotFound{name: name}
 		}
 		c.dropStatement(name)
 		return "", nil
@@ -291,7 +296,7 @@
 	return &localStatement{tag: "DEALLOCATE", run: run}
 }
 
-func (c *conn) dropStatements() {
+func (c *conn) dropAllStatements() {
 	c.statements = nil
-	c.textBytes = 0
+	c.statementTextBytes = 0
 }
--- a/caller/pgcaller/settings_test.go
+++ b/caller/pgcaller/settings_test.go
@@ -10,7 +10,7 @@
 	"lovageslip/upstream"
 )
 
-func show(t testing.TB, c *pgx.Conn, name string) string {
+func showParameter(t testing.TB, c *pgx.Conn, name string) string {
 	t.Helper()
 	var value string
 	assert.NilError(t, c.QueryRow(t.Context(), "show "+name).Scan(&value))
@@ -20,8 +20,8 @@
 func TestSettingsAreAnsweredLocally(t *testing.T) {
 	owner := &fakeOwner{}
 	c := startLocal(t, owner).connect(t, "&options=-c%20lovageslip.class%3Dreport%20--application-name%3Dshop%5C%20front")
-	assert.Equal(t, show(t, c, "lovageslip.class"), "report")
-	assert.Equal(t, show(t, c, "application_name"), "shop front")
+	assert.Equal(t, showParameter(t, c, "lovageslip.class"), "report")
+	assert.Equal(t, showParameter(t, c, "application_name"), "shop front")
 	for _, text := range []string{
 		"set lovageslip.class = 'current'", "SET SESSION lovageslip.class TO current;", "set application_name = 'it''s'",
 		"set names 'utf8'", "SET TIME ZONE 'UTC'", "set extra_float_digits = 3", `set "client_encoding" to 'UTF8'`,
@@ -29,11 +29,11 @@
 		_, err := c.Exec(t.Context(), text)
 		assert.NilError(t, err, text)
 	}
-	assert.Equal(t, show(t, c, "lovageslip.class"), "current")
-	assert.Equal(t, show(t, c, "application_name"), "it's")
+	assert.Equal(t, showParameter(t, c, "lovageslip.class"), "current")
+	assert.Equal(t, showParameter(t, c, "application_name"), "it's")
 	_, err := c.Exec(t.Context(), "reset application_name")
 	assert.NilError(t, err)
-	assert.Equal(t, show(t, c, "application_name"), "")
+	assert.Equal(t, showParameter(t, c, "application_name"), "")
 	assert.Equal(t, len(owner.texts()), 0)
 }
 
@@ -68,19 +68,19 @@
 		"set session characteristics as transaction x": "0A000",
 	} {
 		_, err := c.Exec(t.Context(), text)
-		assert.Equal(t, codeOf(t, err), code, text)
+		assert.Equal(t, sqlStateOf(t, err), code, text)
 	}
 	_, err := pgx.Connect(t.Context(), "postgres://app@"+h.address+"/nowhere?sslmode=disable")
-	assert.Equal(t, codeOf(t, err), "3D000")
+	assert.Equal(t, sqlStateOf(t, err), "3D000")
 	_, err = pgx.Connect(t.Context(), "postgres://app@"+h.address+"/shop?sslmode=disable&lovageslip.session="+foreign)
-	assert.Equal(t, codeOf(t, err), "28L01")
+	assert.Equal(t, sqlStateOf(t, err), "28L01")
 }
 
-func TestTokenIsTakenAtStartUp(t *testing.T) {
+func TestStartupParameterSetsSessionToken(t *testing.T) {
 	h := startLocal(t, &fakeOwner{})
 	token := newTokens(t).Sign("shop", upstream.Position{Term: 1, Offset: 9})
 	c := h.connect(t, "&lovageslip.session="+token)
-	assert.Equal(t, show(t, c, "lovageslip.session"), token)
+	assert.Equal(t, showParameter(t, c, "lovageslip.session"), token)
 }
 
 func TestFeaturesThatNeedAServerConnectionAreRefused(t *testing.T) {
@@ -94,7 +94,7 @@
 	} {
 		for _, mode := range []pgx.QueryExecMode{pgx.QueryExecModeSimpleProtocol, pgx.QueryExecModeCacheStatement} {
 			_, err := c.Exec(t.Context(), text, mode)
-			assert.Equal(t, codeOf(t, err), "0A000", text)
+			assert.Equal(t, sqlStateOf(t, err), "0A000", text)
 		}
 	}
 	assert.Equal(t, len(owner.texts()), 0)
@@ -110,17 +110,17 @@
 
 func TestEncryptionIsDeclinedAndLaterProtocolsAreNegotiated(t *testing.T) {
 	h := startLocal(t, &fakeOwner{})
-	network := dial(t, h.address)
-	frontend := pgproto3.NewFrontend(network, network)
+	netConn := dial(t, h.address)
+	frontend := pgproto3.NewFrontend(netConn, netConn)
 	for _, request := range []pgproto3.FrontendMessage{&pgproto3.SSLRequest{}, &pgproto3.GSSEncRequest{}} {
 		frontend.Send(request)
 		assert.NilError(t, frontend.Flush())
 		answer := make([]byte, 1)
-		_, err := network.Read(answer)
+		_, err := netConn.Read(answer)
 		assert.NilError(t, err)
 		assert.Equal(t, string(answer), "N")
 	}
-	// libpq accepts no parameter report before AuthenticationOk.
+	// libpq accepts no ParameterStatus before AuthenticationOk.
 	frontend.Send(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion32,
 		Parameters: map[string]string{"user": "app", "database": "shop", "_pq_.new": "1", "application_name": "psql", "lovageslip.class": "report"}})
 	assert.NilError(t, frontend.Flush())
@@ -128,11 +128,11 @@
 	assert.NilError(t, err)
 	assert.DeepEqual(t, negotiated.(*pgproto3.NegotiateProtocolVersion).UnrecognizedOptions, []string{"_pq_.new"})
 	receiveTypes(t, frontend, []pgproto3.BackendMessage{&pgproto3.AuthenticationOk{}})
-	until[*pgproto3.ReadyForQuery](t, frontend)
+	receiveUntil[*pgproto3.ReadyForQuery](t, frontend)
 }
 
-func TestFailedPrepareLeavesItsNameFree(t *testing.T) {
-	_, frontend := started(t, startLocal(t, &fakeOwner{}))
+func TestFailedParseDoesNotReserveItsName(t *testing.T) {
+	_, frontend := connectRaw(t, startLocal(t, &fakeOwner{}))
 	for _, c := range []struct{ query, code string }{{"listen x", "0A000"}, {"select 1", ""}, {"select 2", "42P05"}} {
 		frontend.Send(&pgproto3.Parse{Name: "s", Query: c.query})
 		frontend.Send(&pgproto3.Sync{})
@@ -144,6 +144,6 @@
 		} else {
 			assert.Equal(t, c.code, "")
 		}
-		until[*pgproto3.ReadyForQuery](t, frontend)
+		receiveUntil[*pgproto3.ReadyForQuery](t, frontend)
 	}
 }
--- a/caller/pgcaller/startup.go
+++ b/caller/pgcaller/startup.go
@@ -15,18 +15,19 @@
 )
 
 const (
-	minStartup = 8
-	maxStartup = 10_000
+	minStartupPacketBytes = 8
+	maxStartupPacketBytes = 10_000
 
-	codeSSLRequest    = 80877103
-	codeGSSENCRequest = 80877104
-	codeCancelRequest = 80877102
-	majorVersion      = 3
-	// maxNegotiations bounds the encryption requests before start-up.
-	maxNegotiations = 2
+	codeSSLRequest       = 80877103
+	codeGSSENCRequest    = 80877104
+	codeCancelRequest    = 80877102
+	protocolMajorVersion = 3
+	// maxEncryptionRequests allows one SSLRequest and one GSSENCRequest before
+	// the start-up packet.
+	maxEncryptionRequests = 2
 )
 
-// Startup is what a caller asked for at start-up.
+// Startup holds the contents of a caller's start-up packet and its address.
 type Startup struct {
 	User       string
 	Database   string
@@ -34,14 +35,14 @@
 	RemoteAddr net.Addr
 }
 
-// start runs the start-up phase. It returns false if the connection has served
-// its purpose, as after a cancel request.
+// start runs the start-up phase. It returns false if no session follows, as
+// after a cancel request.
 func (c *conn) start(ctx context.Context) (bool, error) {
 	deadline := time.Now().Add(c.server.options.StartupTimeout)
-	if err := c.network.SetDeadline(deadline); err != nil {
+	if err := c.netConn.SetDeadline(deadline); err != nil {
 		return false, &fault.IO{Op: "set start-up deadline", Err: err}
 	}
-	packet, err := c.startupPacket()
+	packet, err := c.readStartupPacket()
 	if err != nil || packet == nil {
 		return false, err
 	}
@@ -49,23 +50,23 @@
 	if err := message.Decode(packet); err != nil {
 		return false, &protocolError{detail: "malformed start-up packet"}
 	}
-	if err := c.negotiate(message); err != nil {
+	if err := c.negotiateVersion(message); err != nil {
 		return false, err
 	}
-	if err := c.open(ctx, message.Parameters, deadline); err != nil {
+	if err := c.openSession(ctx, message.Parameters, deadline); err != nil {
 		return false, err
 	}
-	if err := c.network.SetDeadline(time.Time{}); err != nil {
+	if err := c.netConn.SetDeadline(time.Time{}); err != nil {
 		return false, &fault.IO{Op: "clear start-up deadline", Err: err}
 	}
 	return true, nil
 }
 
-// startupPacket answers encryption and cancel requests and returns the
-// start-up packet; nil after a cancel request.
-func (c *conn) startupPacket() ([]byte, error) {
-	for range maxNegotiations + 1 {
-		packet, err := c.rawPacket()
+// readStartupPacket handles encryption and cancel requests and returns the
+// start-up packet without its length field; nil after a cancel request.
+func (c *conn) readStartupPacket() ([]byte, error) {
+	for range maxEncryptionRequests + 1 {
+		packet, err := c.readPacket()
 		if err != nil {
 			return nil, err
 		}
@@ -73,7 +74,7 @@
 		case codeSSLRequest:
 			err = c.answerSSL()
 		case codeGSSENCRequest:
-			err = c.answerByte('N')
+			err = c.answerEncryptionRequest('N')
 		case codeCancelRequest:
 			c.server.cancelRequest(packet)
 			return nil, nil
@@ -87,50 +88,51 @@
 	return nil, &protocolError{detail: "too many encryption requests"}
 }
 
-func (c *conn) rawPacket() ([]byte, error) {
+func (c *conn) readPacket() ([]byte, error) {
 	var header [4]byte
-	if _, err := io.ReadFull(c.network, header[:]); err != nil {
+	if _, err := io.ReadFull(c.netConn, header[:]); err != nil {
 		return nil, &fault.IO{Op: "read start-up packet", Err: err}
 	}
 	size := int(binary.BigEndian.Uint32(header[:]))
-	if size < minStartup || size > maxStartup {
+	if size < minStartupPacketBytes || size > maxStartupPacketBytes {
 		return nil, &protocolError{detail: "invalid length of start-up packet"}
 	}
 	packet := make([]byte, size-len(header))
-	if _, err := io.ReadFull(c.network, packet); err != nil {
+	if _, err := io.ReadFull(c.netConn, packet); err != nil {
 		return nil, &fault.IO{Op: "read start-up packet", Err: err}
 	}
 	return packet, nil
 }
 
 func (c *conn) answerSSL() error {
-	if c.secure {
+	if c.encrypted {
 		return &protocolError{detail: "TLS is in use already"}
 	}
 	config := c.server.options.TLS
 	if config == nil {
-		return c.answerByte('N')
+		return c.answerEncryptionRequest('N')
 	}
-	if err := c.answerByte('S'); err != nil {
+	if err := c.answerEncryptionRequest('S'); err != nil {
 		return err
 	}
-	c.secure = true
-	c.setNetwork(tls.Server(c.network, config))
+	c.encrypted = true
+	c.setNetConn(tls.Server(c.netConn, config))
 	return nil
 }
 
-// answerByte answers an encryption request.
-func (c *conn) answerByte(answer byte) error {
-	if _, err := c.network.Write([]byte{answer}); err != nil {
+// answerEncryptionRequest sends the one-byte answer: 'S' accepts TLS, 'N'
+// declines encryption.
+func (c *conn) answerEncryptionRequest(answer byte) error {
+	if _, err := c.netConn.Write([]byte{answer}); err != nil {
 		return &fault.IO{Op: "answer encryption request", Err: err}
 	}
 	return nil
 }
 
-// negotiate offers version 3.0 to callers that ask for a later minor version
+// negotiateVersion offers version 3.0 to callers that ask for a later minor version
 // or for protocol options.
-func (c *conn) negotiate(message *pgproto3.StartupMessage) error {
-	if message.ProtocolVersion>>16 != majorVersion {
+func (c *conn) negotiateVersion(message *pgproto3.StartupMessage) error {
+	if message.ProtocolVersion>>16 != protocolMajorVersion {
 		return &protocolError{detail: "unsupported protocol version"}
 	}
 	var options []string
@@ -147,13 +149,13 @@
 	return nil
 }
 
-// open authenticates the caller until the deadline, opens its session and
-// reports the parameters.
-func (c *conn) open(ctx context.Context, parameters map[string]string, deadline time.Time) error {
-	if c.server.options.RequireTLS && !c.secure {
+// openSession authenticates the caller, opens its session and reports the
+// parameters. The whole login has to end before the deadline.
+func (c *conn) openSession(ctx context.Context, parameters map[string]string, deadline time.Time) error {
+	if c.server.options.RequireTLS && !c.encrypted {
 		return &tlsRequired{}
 	}
-	startup := Startup{User: parameters["user"], Database: parameters["database"], Parameters: parameters, RemoteAddr: c.network.RemoteAddr()}
+	startup := Startup{User: parameters["user"], Database: parameters["database"], Parameters: parameters, RemoteAddr: c.netConn.RemoteAddr()}
 	if startup.User == "" {
 		return &protocolError{detail: "no user name in start-up packet"}
 	}
@@ -162,10 +164,10 @@
 	}
 	messages := &authConn{conn: c, deadline: deadline}
 	if err := c.server.options.Authenticator.Authenticate(ctx, startup, messages); err != nil {
-		c.noteRefusal(startup, err)
+		c.recordRefusal(startup, err)
 		return err
 	}
-	// Applying the parameters reports some of them, which a caller accepts
+	// applyStartupParameters may send ParameterStatus, which a caller accepts
 	// only after AuthenticationOk.
 	c.send(&pgproto3.AuthenticationOk{})
 	session, err := c.server.entry.Open(startup.Database, callerName(startup))
@@ -173,7 +175,7 @@
 		return err
 	}
 	c.session = session
-	if err := c.applyStartup(parameters); err != nil {
+	if err := c.applyStartupParameters(parameters); err != nil {
 		return err
 	}
 	c.reportParameters(startup)
@@ -183,7 +185,7 @@
 	return c.flush()
 }
 
-// callerName identifies a caller for limits: its user and host.
+// callerName returns user@host, by which limits per caller are counted.
 func callerName(startup Startup) string {
 	host, _, err := net.SplitHostPort(startup.RemoteAddr.String())
 	if err != nil {
@@ -193,39 +195,39 @@
 }
 
 func (c *conn) reportParameters(startup Startup) {
-	c.status("server_version", c.server.options.ServerVersion)
-	c.status("server_encoding", "UTF8")
-	c.status("client_encoding", "UTF8")
-	c.status("DateStyle", "ISO, MDY")
-	c.status("IntervalStyle", "postgres")
-	c.status("TimeZone", "UTC")
-	c.status("integer_datetimes", "on")
-	c.status("standard_conforming_strings", "on")
-	c.status("is_superuser", "off")
-	c.status("session_authorization", startup.User)
-	c.status("application_name", startup.Parameters["application_name"])
-	c.status("in_hot_standby", "off")
-	c.status("default_transaction_read_only", "off")
-	c.status(settingClass, c.session.Class())
+	c.sendParameterStatus("server_version", c.server.options.ServerVersion)
+	c.sendParameterStatus("server_encoding", "UTF8")
+	c.sendParameterStatus("client_encoding", "UTF8")
+	c.sendParameterStatus("DateStyle", "ISO, MDY")
+	c.sendParameterStatus("IntervalStyle", "postgres")
+	c.sendParameterStatus("TimeZone", "UTC")
+	c.sendParameterStatus("integer_datetimes", "on")
+	c.sendParameterStatus("standard_conforming_strings", "on")
+	c.sendParameterStatus("is_superuser", "off")
+	c.sendParameterStatus("session_authorization", startup.User)
+	c.sendParameterStatus("application_name", startup.Parameters["application_name"])
+	c.sendParameterStatus("in_hot_standby", "off")
+	c.sendParameterStatus("default_transaction_read_only", "off")
+	c.sendParameterStatus(parameterClass, c.session.Class())
 }
 
-func (c *conn) status(name, value string) {
+func (c *conn) sendParameterStatus(name, value string) {
 	c.send(&pgproto3.ParameterStatus{Name: name, Value: value})
 }
 
-// applyStartup sets the parameters of the start-up packet and its options.
-func (c *conn) applyStartup(parameters map[string]string) error {
+// applyStartupParameters sets the parameters in the options string of the
+// start-up packet, then the packet's other parameters.
+func (c *conn) applyStartupParameters(parameters map[string]string) error {
 	options, err := parseOptions(parameters["options"])
 	if err != nil {
 		return err
 	}
 	for _, option := range options {
-		if err := c.set(option.name, option.value); err != nil {
+		if err := c.setParameter(option.name, option.value); err != nil {
 			return err
 		}
 	}
-	// The class precedes the other parameters only by chance of map order;
-	// they do not depend on each other.
+	// Map order is random, but the parameters do not depend on each other.
 	for name, value := range parameters {
 		switch name {
 		case "user", "database", "options":
@@ -233,7 +235,7 @@
 		case "replication":
 			return &fault.Unsupported{Feature: "replication"}
 		}
-		if err := c.set(name, value); err != nil {
+		if err := c.setParameter(name, value); err != nil {
 			return err
 		}
 	}
@@ -242,7 +244,8 @@
 
 type option struct{ name, value string }
 
-// parseOptions reads "-c name=value", "-cname=value" and "--name=value".
+// parseOptions parses the options parameter of the start-up packet:
+// "-c name=value", "-cname=value" and "--name=value".
 func parseOptions(text string) ([]option, error) {
 	var options []option
 	words := splitOptions(text)
@@ -268,7 +271,7 @@
 	return options, nil
 }
 
-// splitOptions splits at spaces; a backslash keeps the next byte.
+// splitOptions splits at white space; a backslash escapes the next byte.
 func splitOptions(text string) []string {
 	var words []string
 	var word []byte
--- a/caller/pgcaller/statement.go
+++ b/caller/pgcaller/statement.go
@@ -11,32 +11,34 @@
 )
 
 const (
-	globalPrefix  = "lvs_"
-	globalHashLen = 16
+	upstreamNamePrefix    = "lvs_"
+	upstreamNameHashBytes = 16
 )
 
 // statement is a prepared statement of one caller.
 type statement struct {
 	sql  string
 	oids []uint32
-	// global is the name towards upstreams: a hash of the definition, so that
-	// equal definitions of all callers share it. It is a cryptographic hash
-	// because a collision would run another caller's statement.
-	global string
-	// local is set if the proxy itself answers the statement.
+	// upstreamName is the name under which upstreams know the statement: a hash
+	// of its text and parameter types, so that callers with equal definitions
+	// share one prepared statement. The hash is cryptographic because a
+	// collision would run another caller's statement.
+	upstreamName string
+	// local is set if the proxy answers the statement itself.
 	local *localStatement
-	// ends is true if the statement ends a transaction.
-	ends bool
+	// isTransactionEnd is true for COMMIT, END, ROLLBACK and ABORT.
+	isTransactionEnd bool
 }
 
-// newStatement judges a statement text.
+// newStatement checks whether the proxy can run a statement text and prepares
+// it for the proxy's or an upstream's answer.
 // Errors: *fault.Unsupported, *fault.Invalid, *failedTransaction.
 func (c *conn) newStatement(text string, oids []uint32) (*statement, error) {
-	st := &statement{sql: text, oids: oids, ends: endsTransaction(text)}
-	if c.lost && !st.ends {
+	st := &statement{sql: text, oids: oids, isTransactionEnd: endsTransaction(text)}
+	if c.transactionLost && !st.isTransactionEnd {
 		return nil, &failedTransaction{}
 	}
-	if err := refuse(text); err != nil {
+	if err := checkSupported(text); err != nil {
 		return nil, err
 	}
 	local, err := parseLocal(text, c.inTransaction)
@@ -44,11 +46,11 @@
 		return nil, err
 	}
 	st.local = local
-	st.global = globalName(text, oids)
+	st.upstreamName = hashedName(text, oids)
 	return st, nil
 }
 
-func globalName(text string, oids []uint32) string {
+func hashedName(text string, oids []uint32) string {
 	definition := make([]byte, 0, len(text)+4*len(oids)+1)
 	definition = append(definition, text...)
 	definition = append(definition, 0)
@@ -56,7 +58,7 @@
 		definition = binary.BigEndian.AppendUint32(definition, oid)
 	}
 	sum := sha256.Sum256(definition)
-	return globalPrefix + hex.EncodeToString(sum[:globalHashLen])
+	return upstreamNamePrefix + hex.EncodeToString(sum[:upstreamNameHashBytes])
 }
 
 // parseBody encodes the body of a Parse of the unnamed statement.
@@ -72,10 +74,11 @@
 	return body
 }
 
-// localOf returns how the proxy answers a statement; nil if it does not.
-func (c *conn) localOf(st *statement) *localStatement {
-	if c.lost && st.ends {
-		return endLost
+// localStatementFor returns the proxy's own answer to a statement; nil if an
+// upstream answers it.
+func (c *conn) localStatementFor(st *statement) *localStatement {
+	if c.transactionLost && st.isTransactionEnd {
+		return endLostTransaction
 	}
 	return st.local
 }
@@ -96,9 +99,10 @@
 	run    func(c *conn) (value string, err error)
 }
 
-// endLost ends a transaction that was lost. The owner has rolled it back.
-var endLost = &localStatement{tag: "ROLLBACK", run: func(c *conn) (string, error) {
-	c.lost = false
+// endLostTransaction answers the caller's COMMIT or ROLLBACK of a transaction
+// that was lost. The owner has rolled it back already.
+var endLostTransaction = &localStatement{tag: "ROLLBACK", run: func(c *conn) (string, error) {
+	c.transactionLost = false
 	return "", nil
 }}
 
@@ -124,8 +128,8 @@
 	return &pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{field}}
 }
 
-// execute runs the statement and answers it. simple adds the row description,
-// as the simple protocol does.
+// execute runs the statement and sends its answer. simple adds the row
+// description, which the simple protocol sends without a Describe.
 func (l *localStatement) execute(c *conn, simple bool) error {
 	value, err := l.run(c)
 	if err != nil {
--- a/caller/pgcaller/transaction_test.go
+++ b/caller/pgcaller/transaction_test.go
@@ -20,11 +20,11 @@
 	"lovageslip/upstream"
 )
 
-func codeOf(t testing.TB, err error) string {
+func sqlStateOf(t testing.TB, err error) string {
 	t.Helper()
-	var database *pgconn.PgError
-	assert.Assert(t, errors.As(err, &database), "%v", err)
-	return database.Code
+	var pgErr *pgconn.PgError
+	assert.Assert(t, errors.As(err, &pgErr), "%v", err)
+	return pgErr.Code
 }
 
 func TestTransactionIsPinnedToOneExchange(t *testing.T) {
@@ -56,10 +56,10 @@
 	tx, err := c.Begin(t.Context())
 	assert.NilError(t, err)
 	_, err = tx.Exec(t.Context(), "update t")
-	assert.Equal(t, codeOf(t, err), "57L01")
+	assert.Equal(t, sqlStateOf(t, err), "57L01")
 	for _, mode := range []pgx.QueryExecMode{pgx.QueryExecModeSimpleProtocol, pgx.QueryExecModeExec, pgx.QueryExecModeCacheStatement} {
 		_, err = tx.Exec(t.Context(), "insert into t", mode)
-		assert.Equal(t, codeOf(t, err), "25P02")
+		assert.Equal(t, sqlStateOf(t, err), "25P02")
 	}
 	assert.Equal(t, c.PgConn().TxStatus(), byte('E'))
 	assert.NilError(t, tx.Rollback(t.Context()))
@@ -80,16 +80,16 @@
 	c := startLocal(t, owner).connect(t, "")
 	tx, err := c.Begin(t.Context())
 	assert.NilError(t, err)
-	assert.Equal(t, codeOf(t, tx.Commit(t.Context())), "40003")
+	assert.Equal(t, sqlStateOf(t, tx.Commit(t.Context())), "40003")
 	assert.Equal(t, c.PgConn().TxStatus(), byte('I'))
 }
 
-func TestLinkThatDiesMidAnswerGivesAnErrorAndNeverAShortResult(t *testing.T) {
+func TestInterruptedAnswerIsAnErrorNotAShortResult(t *testing.T) {
 	for name, rows := range map[string]int{"few rows": 3, "more than the buffer": 5000} {
 		t.Run(name, func(t *testing.T) {
 			owner := &fakeOwner{}
 			owner.answer = func(_ context.Context, text string, sink upstream.Sink) (bool, error) {
-				chunk := encode(row())
+				chunk := encode(rowDescription())
 				for range rows {
 					chunk = append(chunk, encode(&pgproto3.DataRow{Values: [][]byte{[]byte(text)}})...)
 				}
@@ -102,7 +102,7 @@
 				got, err := c.Query(t.Context(), "select rows", mode)
 				for err == nil && got.Next() {
 				}
-				assert.Equal(t, codeOf(t, errors.Join(err, got.Err())), "40003")
+				assert.Equal(t, sqlStateOf(t, errors.Join(err, got.Err())), "40003")
 			}
 		})
 	}
@@ -113,7 +113,7 @@
 	return encoded
 }
 
-func TestCallerThatLeavesEndsItsBatch(t *testing.T) {
+func TestDisconnectCancelsBatch(t *testing.T) {
 	owner := &fakeOwner{}
 	started := make(chan struct{})
 	ended := make(chan struct{})
@@ -145,7 +145,7 @@
 	var group conc.WaitGroup
 	group.Go(func() {
 		_, err := c.Exec(t.Context(), "update t")
-		assert.Check(t, codeOf(t, err) == "57014")
+		assert.Check(t, sqlStateOf(t, err) == "57014")
 	})
 	<-started
 	assert.Assert(t, !h.server.Cancel(t.Context(), c.PgConn().PID(), 12345))
@@ -164,13 +164,13 @@
 	h := startLocal(t, owner)
 	view := testView(ownerAddress)
 	view.Hosts = map[string]registry.Host{"p1": {Name: "p1", Address: serveHTTP(t, h.server.CancelHandler)}}
-	forward := pgcaller.NewCancelForwarder(directory{view}, "p2", "http", http.DefaultClient)
+	forward := pgcaller.NewCancelForwarder(fixedDirectory{view}, "p2", "http", http.DefaultClient)
 	other := startLocal(t, &fakeOwner{}, func(o *pgcaller.Options) { o.ForwardCancel = forward })
 	c := h.connect(t, "")
 	var group conc.WaitGroup
 	group.Go(func() {
 		_, err := c.Exec(t.Context(), "update t")
-		assert.Check(t, codeOf(t, err) == "57014")
+		assert.Check(t, sqlStateOf(t, err) == "57014")
 	})
 	<-started
 	cancel := &pgproto3.CancelRequest{ProcessID: c.PgConn().PID(), SecretKey: c.PgConn().SecretKey()}
@@ -181,7 +181,7 @@
 	group.Wait()
 }
 
-func TestShutdownLetsATransactionFinishAndEndsIdleCallers(t *testing.T) {
+func TestShutdownWaitsForTransactionsAndEndsIdleCallers(t *testing.T) {
 	h := startLocal(t, &fakeOwner{})
 	idle := h.connect(t, "")
 	busy := h.connect(t, "")
--- a/caller/pgcaller/unsupported.go
+++ b/caller/pgcaller/unsupported.go
@@ -9,7 +9,8 @@
 	"lovageslip/fault"
 )
 
-// refusedKeywords are statements that need a connection of their own.
+// refusedKeywords maps the first keyword of statements that need an upstream
+// connection of their own to the feature name in the error.
 var refusedKeywords = map[string]string{
 	"LISTEN":   "LISTEN",
 	"UNLISTEN": "UNLISTEN",
@@ -20,26 +21,26 @@
 	"LOAD":     "LOAD",
 }
 
-// sessionLocks are the functions that take locks for a whole session.
+// sessionLocks are the functions that take or release session-level locks.
 var sessionLocks = []string{
 	"pg_advisory_lock", "pg_try_advisory_lock", "pg_advisory_unlock",
 }
 
-// refuse returns *fault.Unsupported for a text that needs session state on one
-// server connection. It looks at keywords only; what it misses, the owner
-// discards before the connection is used again.
-func refuse(text string) error {
+// checkSupported returns *fault.Unsupported for a text that needs session state
+// on one upstream connection. It looks at keywords only. Session state that it
+// misses is discarded by the owner before the connection is used again.
+func checkSupported(text string) error {
 	if lock := sessionLock(text); lock != "" {
 		return &fault.Unsupported{Feature: "the session lock " + lock}
 	}
-	if setsSession(text) {
+	if setsSessionConfig(text) {
 		return &fault.Unsupported{Feature: "set_config for the session (its third argument must be true)"}
 	}
 	if !severalStatements(text) {
-		return refuseOne(text)
+		return checkStatement(text)
 	}
 	for _, part := range strings.Split(withoutLiterals(text), ";") {
-		if err := refuseOne(part); err != nil {
+		if err := checkStatement(part); err != nil {
 			return err
 		}
 	}
@@ -51,31 +52,31 @@
 	return found && strings.TrimSpace(after) != ""
 }
 
-func refuseOne(text string) error {
+func checkStatement(text string) error {
 	keyword, rest := entry.FirstKeyword(text)
 	if feature, refused := refusedKeywords[keyword]; refused {
-		if keyword == "PREPARE" && startsWith(rest, "TRANSACTION") {
+		if keyword == "PREPARE" && startsWithKeyword(rest, "TRANSACTION") {
 			return &fault.Unsupported{Feature: "PREPARE TRANSACTION"}
 		}
 		return &fault.Unsupported{Feature: feature}
 	}
 	switch keyword {
 	case "CREATE":
-		return refuseTemporary(rest)
+		return checkCreate(rest)
 	case "SELECT":
-		return refuseInto(rest)
+		return checkSelectInto(rest)
 	case "DECLARE":
-		return refuseHold(rest)
+		return checkCursor(rest)
 	}
 	return nil
 }
 
-func startsWith(rest, word string) bool {
+func startsWithKeyword(rest, word string) bool {
 	first, _ := entry.FirstKeyword(rest)
 	return first == word
 }
 
-func refuseTemporary(rest string) error {
+func checkCreate(rest string) error {
 	word, rest := entry.FirstKeyword(rest)
 	if word == "OR" {
 		_, rest = entry.FirstKeyword(rest)
@@ -90,7 +91,7 @@
 	return nil
 }
 
-func refuseInto(rest string) error {
+func checkSelectInto(rest string) error {
 	if !containsFold(rest, "into") || !containsFold(rest, "temp") {
 		return nil
 	}
@@ -106,7 +107,7 @@
 	return nil
 }
 
-func refuseHold(rest string) error {
+func checkCursor(rest string) error {
 	if !containsFold(rest, "hold") {
 		return nil
 	}
@@ -141,9 +142,9 @@
 // localSetConfig matches a set_config whose change ends with the transaction.
 var localSetConfig = regexp.MustCompile(`(?i)set_config\s*\([^()]*,\s*true\s*\)`)
 
-// setsSession reports whether a text calls set_config in a way that may outlive
-// its transaction.
-func setsSession(text string) bool {
+// setsSessionConfig reports whether a text calls set_config in a way whose
+// change may outlast the transaction.
+func setsSessionConfig(text string) bool {
 	if !containsFold(text, setConfig) {
 		return false
 	}
@@ -152,7 +153,8 @@
 	return calls > len(localSetConfig.FindAllString(plain, -1))
 }
 
-// containsFold reports whether text contains a lower-case ASCII word in any case.
+// containsFold reports whether text contains word, ignoring case. word must be
+// lower-case ASCII.
 func containsFold(text, word string) bool {
 	first := word[0]
 	for i := 0; i+len(word) <= len(text); i++ {
@@ -166,11 +168,11 @@
 	return false
 }
 
-// withoutLiterals replaces strings, quoted names and comments with a space.
+// withoutLiterals replaces each string, quoted name and comment by a space.
 func withoutLiterals(text string) string {
 	var plain strings.Builder
 	for len(text) > 0 {
-		if n := literal(text); n > 0 {
+		if n := literalLength(text); n > 0 {
 			plain.WriteByte(' ')
 			text = text[n:]
 			continue
@@ -181,24 +183,25 @@
 	return plain.String()
 }
 
-// literal returns the length of the literal or comment that begins the text.
-func literal(text string) int {
+// literalLength returns the length of the string, quoted name or comment at the
+// start of text; zero if there is none.
+func literalLength(text string) int {
 	switch {
 	case len(text) > 1 && text[0]|0x20 == 'e' && text[1] == '\'':
-		return escapeString(text)
+		return escapeStringLength(text)
 	case text[0] == '\'' || text[0] == '"':
-		return upTo(text, 1, text[:1])
+		return lengthThrough(text, 1, text[:1])
 	case strings.HasPrefix(text, "--"):
-		return upTo(text, 2, "\n")
+		return lengthThrough(text, 2, "\n")
 	case strings.HasPrefix(text, "/*"):
-		return upTo(text, 2, "*/")
+		return lengthThrough(text, 2, "*/")
 	case text[0] == '$':
-		return dollarQuoted(text)
+		return dollarQuotedLength(text)
 	}
 	return 0
 }
 
-func upTo(text string, from int, end string) int {
+func lengthThrough(text string, from int, end string) int {
 	i := strings.Index(text[from:], end)
 	if i < 0 {
 		return len(text)
@@ -206,8 +209,9 @@
 	return from + i + len(end)
 }
 
-// escapeString measures E'...', in which a backslash keeps the next byte.
-func escapeString(text string) int {
+// escapeStringLength returns the length of the E'...' at the start of text, in
+// which a backslash escapes the next byte.
+func escapeStringLength(text string) int {
 	for i := 2; i < len(text); i++ {
 		switch text[i] {
 		case '\\':
@@ -219,8 +223,9 @@
 	return len(text)
 }
 
-// dollarQuoted measures "$tag$ ... $tag$"; a parameter such as $1 is none.
-func dollarQuoted(text string) int {
+// dollarQuotedLength returns the length of the "$tag$ ... $tag$" at the start of
+// text; zero for anything else, such as the parameter $1.
+func dollarQuotedLength(text string) int {
 	end := strings.IndexByte(text[1:], '$')
 	if end < 0 {
 		return 0
@@ -233,5 +238,5 @@
 			return 0
 		}
 	}
-	return upTo(text, len(tag), tag)
+	return lengthThrough(text, len(tag), tag)
 }
--- a/caller/pgcaller/watch.go
+++ b/caller/pgcaller/watch.go
@@ -10,25 +10,26 @@
 	"lovageslip/entry"
 )
 
-// watchDelay is how long a batch runs before its caller is watched for
-// leaving. Most batches are over by then and cost no watcher.
+// watchDelay is how long a batch runs before its caller's connection is watched
+// for a disconnect. Most batches end earlier and cost no watcher.
 const watchDelay = 10 * time.Millisecond
 
-// runWatched runs a batch, and cancels it if the caller leaves meanwhile.
-func (c *conn) runWatched(ctx context.Context, request entry.Request, a *answer) (entry.Reply, error) {
+// runWatched runs a batch and cancels it if the caller disconnects meanwhile.
+func (c *conn) runWatched(ctx context.Context, request entry.Request, a *answerRelay) (entry.Reply, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w := &watcher{conn: c, cancel: cancel, done: make(chan struct{})}
+	w := &disconnectWatcher{conn: c, cancel: cancel, done: make(chan struct{})}
 	timer := time.AfterFunc(watchDelay, w.run)
-	reply, err := c.session.Run(ctx, request, a.take)
+	reply, err := c.session.Run(ctx, request, a.receive)
 	if !timer.Stop() {
 		w.stop()
 	}
 	return reply, err
 }
 
-// watcher reads ahead while a batch runs. What it reads stays in the buffer.
-type watcher struct {
+// disconnectWatcher reads from the caller's connection while a batch runs, to
+// see a disconnect. The bytes stay in the reader's buffer for the next message.
+type disconnectWatcher struct {
 	conn   *conn
 	cancel context.CancelFunc
 	done   chan struct{}
@@ -38,12 +39,12 @@
 	stopped bool // guarded by mu
 }
 
-func (w *watcher) run() {
+func (w *disconnectWatcher) run() {
 	defer close(w.done)
-	if !w.begin() {
+	if !w.startReading() {
 		return
 	}
-	for w.conn.reader.buffered() < busyBuffer {
+	for w.conn.reader.buffered() < pooledBufferBytes {
 		err := w.conn.reader.fill()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return
@@ -55,24 +56,24 @@
 	}
 }
 
-func (w *watcher) begin() bool {
+func (w *disconnectWatcher) startReading() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.reading = !w.stopped
 	return w.reading
 }
 
-// stop ends the reading and waits for it.
-func (w *watcher) stop() {
+// stop interrupts the read in progress and waits until run has returned.
+func (w *disconnectWatcher) stop() {
 	if w.interrupt() {
-		// A failing deadline shows at the next read.
-		_ = w.conn.network.SetReadDeadline(time.Unix(1, 0))
+		// A connection that refuses the deadline fails at the next read too.
+		_ = w.conn.netConn.SetReadDeadline(time.Unix(1, 0))
 		<-w.done
-		_ = w.conn.network.SetReadDeadline(time.Time{})
+		_ = w.conn.netConn.SetReadDeadline(time.Time{})
 	}
 }
 
-func (w *watcher) interrupt() bool {
+func (w *disconnectWatcher) interrupt() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stopped = true
--- a/caller/pgcaller/words.go
+++ b/caller/pgcaller/words.go
@@ -6,26 +6,27 @@
 	"lovageslip/fault"
 )
 
-// words reads the parts of a SET, SHOW or RESET statement.
-type words struct{ rest string }
+// parameterScanner reads the words after the keyword of a statement that the
+// proxy answers, such as SET, SHOW or RESET.
+type parameterScanner struct{ rest string }
 
-func newWords(text string) *words { return &words{rest: text} }
+func newParameterScanner(text string) *parameterScanner { return &parameterScanner{rest: text} }
 
-func (w *words) skip() { w.rest = strings.TrimLeft(w.rest, " \t\r\n\f") }
+func (s *parameterScanner) skipSpace() { s.rest = strings.TrimLeft(s.rest, " \t\r\n\f") }
 
-// name reads a name. An unquoted one is folded to lower case.
-func (w *words) name() string {
-	w.skip()
-	if strings.HasPrefix(w.rest, `"`) {
-		text, _ := w.quoted('"')
+// name reads a name or keyword. An unquoted one is folded to lower case.
+func (s *parameterScanner) name() string {
+	s.skipSpace()
+	if strings.HasPrefix(s.rest, `"`) {
+		text, _ := s.quoted('"')
 		return text
 	}
-	end := strings.IndexFunc(w.rest, func(r rune) bool { return !isNameRune(r) })
+	end := strings.IndexFunc(s.rest, func(r rune) bool { return !isNameRune(r) })
 	if end < 0 {
-		end = len(w.rest)
+		end = len(s.rest)
 	}
-	name := w.rest[:end]
-	w.rest = w.rest[end:]
+	name := s.rest[:end]
+	s.rest = s.rest[end:]
 	return strings.ToLower(name)
 }
 
@@ -37,57 +38,58 @@
 	return r == '_' || r == '.' || r == '$' || r > 127
 }
 
-// assign reads "=" or TO.
-func (w *words) assign() bool {
-	w.skip()
-	if after, found := strings.CutPrefix(w.rest, "="); found {
-		w.rest = after
+// assignment reads "=" or TO and reports whether one of them was there.
+func (s *parameterScanner) assignment() bool {
+	s.skipSpace()
+	if after, found := strings.CutPrefix(s.rest, "="); found {
+		s.rest = after
 		return true
 	}
-	return w.name() == "to"
+	return s.name() == "to"
 }
 
 // value reads the value up to the end of the statement.
 // Errors: *fault.Unsupported if another statement follows, *fault.Invalid.
-func (w *words) value() (string, error) {
-	w.skip()
-	if !strings.HasPrefix(w.rest, "'") {
-		return w.plain()
+func (s *parameterScanner) value() (string, error) {
+	s.skipSpace()
+	if !strings.HasPrefix(s.rest, "'") {
+		return s.unquotedValue()
 	}
-	text, ok := w.quoted('\'')
+	text, ok := s.quoted('\'')
 	if !ok {
 		return "", &fault.Invalid{Field: "SET", Value: text, Allowed: "a closed string"}
 	}
-	if strings.Trim(w.rest, "; \t\r\n\f") != "" {
-		return "", followed
+	if strings.Trim(s.rest, "; \t\r\n\f") != "" {
+		return "", errFollowingStatement
 	}
 	return text, nil
 }
 
-var followed = &fault.Unsupported{Feature: "SET of a session parameter together with other statements"}
+var errFollowingStatement = &fault.Unsupported{Feature: "SET of a session parameter together with other statements"}
 
-func (w *words) plain() (string, error) {
-	value, after, _ := strings.Cut(w.rest, ";")
+func (s *parameterScanner) unquotedValue() (string, error) {
+	value, after, _ := strings.Cut(s.rest, ";")
 	if strings.TrimSpace(after) != "" {
-		return "", followed
+		return "", errFollowingStatement
 	}
 	return strings.TrimSpace(value), nil
 }
 
-// quoted reads a quoted text in which a doubled quote stands for one.
-func (w *words) quoted(quote byte) (string, bool) {
+// quoted reads a quoted text, in which a doubled quote stands for one quote. It
+// returns false if the closing quote is missing.
+func (s *parameterScanner) quoted(quote byte) (string, bool) {
 	var text strings.Builder
-	rest := w.rest[1:]
+	rest := s.rest[1:]
 	for {
 		end := strings.IndexByte(rest, quote)
 		if end < 0 {
-			w.rest = ""
+			s.rest = ""
 			return text.String(), false
 		}
 		text.WriteString(rest[:end])
 		rest = rest[end+1:]
 		if rest == "" || rest[0] != quote {
-			w.rest = rest
+			s.rest = rest
 			return text.String(), true
 		}
 		text.WriteByte(quote)
--- a/caller/pgcaller/writer.go
+++ b/caller/pgcaller/writer.go
@@ -9,10 +9,10 @@
 	"lovageslip/fault"
 )
 
-// flushAt is how many answer bytes are collected before they are written.
-const flushAt = busyBuffer
+// flushThreshold is the number of answer bytes to collect before a write.
+const flushThreshold = pooledBufferBytes
 
-// writer collects what goes to a caller. It holds no buffer while the caller
+// writer buffers the messages to a caller. It holds no buffer while the caller
 // is idle.
 type writer struct {
 	conn    net.Conn
@@ -20,7 +20,7 @@
 	buf     []byte
 	pooled  *[]byte
 	err     error
-	// written is true once bytes have been written since the last mark.
+	// written is true if bytes were written to the caller since the last mark.
 	written bool
 }
 
@@ -28,21 +28,21 @@
 	if w.buf != nil {
 		return
 	}
-	w.pooled = busyBuffers.Get().(*[]byte)
+	w.pooled = bufferPool.Get().(*[]byte)
 	w.buf = (*w.pooled)[:0]
 }
 
-// release gives the buffer back if nothing is left to write.
+// release returns the buffer to bufferPool if nothing is left to write.
 func (w *writer) release() {
 	if len(w.buf) > 0 || w.pooled == nil {
 		return
 	}
-	busyBuffers.Put(w.pooled)
+	bufferPool.Put(w.pooled)
 	w.pooled = nil
 	w.buf = nil
 }
 
-// send adds a message. An error shows at the next flush.
+// send adds a message. An encoding error is returned by the next flush.
 func (w *writer) send(message pgproto3.BackendMessage) {
 	w.acquire()
 	buf, err := message.Encode(w.buf)
@@ -53,15 +53,16 @@
 	w.buf = buf
 }
 
-// add appends encoded bytes and writes when enough have been collected.
+// add appends encoded bytes, and writes to the caller when flushThreshold is
+// reached.
 func (w *writer) add(encoded []byte) error {
 	w.acquire()
-	if len(w.buf) > 0 && len(w.buf)+len(encoded) > flushAt {
+	if len(w.buf) > 0 && len(w.buf)+len(encoded) > flushThreshold {
 		if err := w.flush(); err != nil {
 			return err
 		}
 	}
-	if len(encoded) >= flushAt {
+	if len(encoded) >= flushThreshold {
 		return w.write(encoded)
 	}
 	w.buf = append(w.buf, encoded...)
@@ -93,14 +94,14 @@
 	return nil
 }
 
-// mark notes the length of what is collected; rewind goes back to it.
+// mark returns the number of buffered bytes, for a later rewind.
 func (w *writer) mark() int {
 	w.written = false
 	return len(w.buf)
 }
 
-// rewind drops what was added since mark and reports whether nothing of it had
-// been written.
+// rewind drops the bytes added since mark. It returns false and drops nothing
+// if some of them were written to the caller already.
 func (w *writer) rewind(mark int) bool {
 	if w.written {
 		return false
--- a/pgscram/client.go
+++ b/pgscram/client.go
@@ -8,88 +8,93 @@
 	"github.com/xdg-go/scram"
 )
 
-// maxIterations bounds the work that a server can ask of a client.
+// maxIterations bounds the PBKDF2 iterations, and so the CPU time, that a server
+// can demand of a client.
 const maxIterations = 1 << 20
 
-// BadServer reports a server that does not follow the mechanism, or that could
+// ServerError reports a server that violates the SCRAM exchange, or that could
 // not prove that it knows the password.
-type BadServer struct {
+type ServerError struct {
 	Detail string
 }
 
-func (e *BadServer) Error() string { return "SCRAM: " + e.Detail }
+func (e *ServerError) Error() string { return "SCRAM: " + e.Detail }
 
-// Client logs in with one password. It keeps derived keys between logins and
-// is safe for concurrent use.
+// Client is the client side: it logs in to servers with one password. It caches
+// the derived keys between logins and is safe for concurrent use.
 type Client struct {
 	scram *scram.Client
 }
 
-// NewClient returns a client.
+// NewClient returns a client for the given password.
 func NewClient(password string) *Client { return &Client{scram: newClient(password)} }
 
-// newClient prepares the password by SASLprep. As in PostgreSQL, a password
-// that SASLprep refuses is taken as it is; the library's error for that case
-// holds the password and is dropped.
+// newClient normalizes the password by SASLprep. As in PostgreSQL, a password
+// that SASLprep refuses is used unchanged. The library's error for that case
+// contains the password, so it is dropped.
 func newClient(password string) *scram.Client {
 	client, err := scram.SHA256.NewClient("", password, "")
 	if err == nil {
 		return client
 	}
-	raw, _ := scram.SHA256.NewClientUnprepped("", password, "") // never fails
-	return raw
+	unprepared, _ := scram.SHA256.NewClientUnprepped("", password, "") // never fails
+	return unprepared
 }
 
-// Login is one login on the client's side: First, Proof, then Finish.
+// Login is the client side of one login. First, Proof and Finish are called in
+// this order.
 type Login struct {
 	conversation *scram.ClientConversation
 }
 
 // Start begins a login with a server that offers the given mechanisms.
-// Errors: *BadServer.
+// Errors: *ServerError.
 func (c *Client) Start(mechanisms []string) (*Login, error) {
 	if !slices.Contains(mechanisms, Mechanism) {
-		return nil, &BadServer{Detail: "the server does not offer " + Mechanism}
+		return nil, &ServerError{Detail: "the server does not offer " + Mechanism}
 	}
 	return &Login{conversation: c.scram.NewConversation()}, nil
 }
 
-// First returns the first message of the client.
-// Errors: *BadServer.
+// First returns the client-first-message of RFC 5802.
+// Errors: *ServerError.
 func (l *Login) First() ([]byte, error) {
 	first, err := l.conversation.Step("")
 	if err != nil {
-		return nil, &BadServer{Detail: "no first message"}
+		return nil, &ServerError{Detail: "no first message"}
 	}
 	return []byte(first), nil
 }
 
-// Proof answers the challenge of the server.
-// Errors: *BadServer.
+// Proof returns the client-final-message, which answers the server's challenge.
+// Errors: *ServerError.
 func (l *Login) Proof(challenge []byte) ([]byte, error) {
 	if !iterationsAllowed(string(challenge)) {
-		return nil, &BadServer{Detail: "the server asks for too many iterations"}
+		return nil, &ServerError{Detail: "the server asks for too many iterations"}
 	}
 	proof, err := l.conversation.Step(string(challenge))
 	if err != nil {
-		return nil, &BadServer{Detail: "malformed challenge"}
+		return nil, &ServerError{Detail: "malformed challenge"}
 	}
 	return []byte(proof), nil
 }
 
-// Finish checks that the server knows the password too.
-// Errors: *BadServer.
+// Finish checks the server-final-message, by which the server proves that it
+// knows the password.
+// Errors: *ServerError.
 func (l *Login) Finish(outcome []byte) error {
 	_, err := l.conversation.Step(string(outcome))
 	if err != nil || !l.conversation.Valid() {
-		return &BadServer{Detail: "the server could not prove that it knows the password"}
+		return &ServerError{Detail: "the server could not prove that it knows the password"}
 	}
 	return nil
 }
 
-// Done reports whether the server has proved itself.
+// Done reports whether the server has proved that it knows the password.
 func (l *Login) Done() bool { return l.conversation.Valid() }
 
+// iterationsAllowed reports whether the iteration count of a challenge is at most
+// maxIterations.
 func iterationsAllowed(challenge string) bool {
 	for field := range strings.SplitSeq(challenge, ",") {
 		count, found := strings.CutPrefix(field, "i=")
--- a/pgscram/pgscram_test.go
+++ b/pgscram/pgscram_test.go
@@ -9,7 +9,7 @@
 
 const password = "secret-of-a-user"
 
-// challenge returns what a server asks of a login, with a count of iterations.
+// challenge returns a server-first-message for login with an iteration count.
 func challenge(t *testing.T, login *Login, iterations string) []byte {
 	t.Helper()
 	first, err := login.First()
@@ -19,8 +19,9 @@
 	return []byte("r=" + nonce + "server,s=c2FsdA==,i=" + iterations)
 }
 
-// Guards against a server that makes a client compute without end, and against
-// one that asks for so little that the password can be guessed.
+// Guards against a server that makes the client compute for an unbounded time by
+// a huge iteration count, and against one that asks for so few iterations that
+// the password can be guessed from the proof.
 func TestClientBoundsIterations(t *testing.T) {
 	for iterations, want := range map[string]string{"4096": "", "2000000000": "too many", "9999999999999999999999": "too many", "1": "malformed"} {
 		login, err := NewClient(password).Start([]string{"SCRAM-SHA-256-PLUS", Mechanism})
@@ -35,9 +36,9 @@
 	}
 }
 
-// Guards against salts that tell known from unknown users: both stay the same
-// from login to login, and differ by name.
-func TestSaltsTellNothing(t *testing.T) {
+// Guards against salts that reveal which users exist: the salts of existing and
+// unknown users stay the same from login to login and differ by name.
+func TestSaltsDoNotRevealUsers(t *testing.T) {
 	v, err := NewVerifier(map[string]string{"app": password})
 	assert.NilError(t, err)
 	for _, user := range []string{"app", "nobody"} {
@@ -48,9 +49,9 @@
 	assert.Assert(t, v.credentials("app").Salt != v.credentials("nobody").Salt)
 }
 
-// Guards against a password that SASLprep refuses: the library's error shows
-// it, and PostgreSQL takes such a password as it is.
-func TestPasswordThatCannotBePrepared(t *testing.T) {
+// Guards against refusing a password that SASLprep rejects: PostgreSQL uses it
+// unchanged, and the library's error would contain it.
+func TestPasswordRefusedBySASLprep(t *testing.T) {
 	_, err := NewVerifier(map[string]string{"app": password + "\x07"})
 	assert.NilError(t, err)
 }
--- a/pgscram/server.go
+++ b/pgscram/server.go
@@ -1,7 +1,8 @@
-// Package pgscram holds both sides of SCRAM-SHA-256 (RFC 5802, RFC 7677) as the
-// PostgreSQL protocol carries it: the user comes from the start-up packet and
-// channel binding is not offered. No error of this package holds a password or
-// any part of a message.
+// Package pgscram implements both sides of password authentication by
+// SCRAM-SHA-256 (RFC 5802, RFC 7677) as PostgreSQL uses it: the user name comes
+// from the start-up packet and channel binding is not offered. pgcaller checks
+// callers with it, pgupstream logs in to upstreams. No error of this package
+// contains a password or any part of a message.
 package pgscram
 
 import (
@@ -13,44 +14,47 @@
 	"github.com/xdg-go/scram"
 )
 
-// Mechanism is the SASL name of the mechanism.
+// Mechanism is the SASL name of SCRAM-SHA-256.
 const Mechanism = "SCRAM-SHA-256"
 
 const (
-	// iterations of PBKDF2; RFC 7677 requires at least 4096.
+	// iterations is the PBKDF2 iteration count; RFC 7677 requires at least 4096.
 	iterations = 4096
 	saltBytes  = 16
 	keyBytes   = sha256.Size
 )
 
-// Refused reports a login that failed. It deliberately does not tell an
-// unknown user from a wrong password.
-type Refused struct{}
+// AuthenticationFailed reports a login that failed. It is the same for an unknown
+// user and for a wrong password, so that it does not reveal which users exist.
+type AuthenticationFailed struct{}
 
-func (*Refused) Error() string { return "password authentication failed" }
+func (*AuthenticationFailed) Error() string { return "password authentication failed" }
 
-// Verifier checks users by their passwords. It keeps no password, only what
-// RFC 5802 lets a server store. It is safe for concurrent use.
+// Verifier is the server side: it checks users' logins. It keeps no passwords,
+// only the derived keys that RFC 5802 lets a server store. It is safe for
+// concurrent use.
 type Verifier struct {
-	// saltKey makes the salt of every name, known or not, so that a salt
-	// tells nothing about a name and stays the same for a name.
+	// saltKey is the HMAC key from which the salt of every user name is
+	// derived, known or not. The salt of a name stays the same and does not
+	// reveal whether the user exists.
 	saltKey []byte
 	users   map[string]scram.StoredCredentials
-	// absent stands for the keys of users that do not exist. They are random,
-	// so that no password fits.
-	absent scram.StoredCredentials
+	// unknownUser holds the keys used for users that do not exist. They are
+	// random, so that no password matches.
+	unknownUser scram.StoredCredentials
 }
 
-// NewVerifier derives the keys of each user from its password, about 1 ms each.
+// NewVerifier derives the keys of each user from the user's password, which
+// takes about 1 ms per user.
 // Errors: *BadPassword.
 func NewVerifier(passwords map[string]string) (*Verifier, error) {
 	v := &Verifier{
-		saltKey: randomBytes(keyBytes),
-		users:   make(map[string]scram.StoredCredentials, len(passwords)),
-		absent:  scram.StoredCredentials{StoredKey: randomBytes(keyBytes), ServerKey: randomBytes(keyBytes)},
+		saltKey:     randomBytes(keyBytes),
+		users:       make(map[string]scram.StoredCredentials, len(passwords)),
+		unknownUser: scram.StoredCredentials{StoredKey: randomBytes(keyBytes), ServerKey: randomBytes(keyBytes)},
 	}
 	for user, password := range passwords {
-		credentials, err := newClient(password).GetStoredCredentialsWithError(v.factors(user))
+		credentials, err := newClient(password).GetStoredCredentialsWithError(v.keyFactors(user))
 		if err != nil {
 			return nil, &BadPassword{User: user}
 		}
@@ -59,7 +63,7 @@
 	return v, nil
 }
 
-// BadPassword reports a password from which no keys can be derived.
+// BadPassword reports that no keys can be derived from a user's password.
 type BadPassword struct {
 	User string
 }
@@ -72,25 +76,27 @@
 	return b
 }
 
-func (v *Verifier) factors(user string) scram.KeyFactors {
+// keyFactors returns the salt and the iteration count for a user name.
+func (v *Verifier) keyFactors(user string) scram.KeyFactors {
 	mac := hmac.New(sha256.New, v.saltKey)
 	mac.Write([]byte(user))
 	return scram.KeyFactors{Salt: string(mac.Sum(nil)[:saltBytes]), Iters: iterations}
 }
 
-// credentials does the same work for a user that exists and for one that does
-// not.
+// credentials returns the keys to check a login with. It does the same work for
+// unknown users, so that its time does not reveal which users exist.
 func (v *Verifier) credentials(user string) scram.StoredCredentials {
-	factors := v.factors(user)
+	factors := v.keyFactors(user)
 	credentials, known := v.users[user]
 	if !known {
-		credentials = v.absent
+		credentials = v.unknownUser
 	}
 	credentials.KeyFactors = factors
 	return credentials
 }
 
-// Messages is the transport of one login on the server's side.
+// Messages carries the authentication messages of one login between a Verifier
+// and the client.
 type Messages interface {
 	// Send writes an authentication request.
 	Send(message pgproto3.BackendMessage) error
@@ -98,14 +104,14 @@
 	Receive() ([]byte, error)
 }
 
-// Verify runs one login of a user. After success the caller still has to send
-// AuthenticationOk.
-// Errors: *Refused, or that of messages.
+// Verify runs the server side of one login. After success it is left to the
+// caller to send AuthenticationOk.
+// Errors: *AuthenticationFailed, or that of messages.
 func (v *Verifier) Verify(user string, messages Messages) error {
 	lookup := func(string) (scram.StoredCredentials, error) { return v.credentials(user), nil }
 	server, err := scram.SHA256.NewServer(lookup)
 	if err != nil {
-		return &Refused{}
+		return &AuthenticationFailed{}
 	}
 	conversation := server.NewConversation()
 	if err := messages.Send(&pgproto3.AuthenticationSASL{AuthMechanisms: []string{Mechanism}}); err != nil {
@@ -117,26 +123,27 @@
 	}
 	initial := &pgproto3.SASLInitialResponse{}
 	if initial.Decode(body) != nil || initial.AuthMechanism != Mechanism {
-		return &Refused{}
+		return &AuthenticationFailed{}
 	}
 	challenge, err := conversation.Step(string(initial.Data))
 	if err != nil {
-		return &Refused{}
+		return &AuthenticationFailed{}
 	}
 	if err := messages.Send(&pgproto3.AuthenticationSASLContinue{Data: []byte(challenge)}); err != nil {
 		return err
 	}
-	return finish(conversation, messages)
+	return finishLogin(conversation, messages)
 }
 
-func finish(conversation *scram.ServerConversation, messages Messages) error {
+// finishLogin checks the client's proof and answers with the server's signature.
+func finishLogin(conversation *scram.ServerConversation, messages Messages) error {
 	body, err := messages.Receive()
 	if err != nil {
 		return err
 	}
 	outcome, err := conversation.Step(string(body))
 	if err != nil || !conversation.Valid() {
-		return &Refused{}
+		return &AuthenticationFailed{}
 	}
 	return messages.Send(&pgproto3.AuthenticationSASLFinal{Data: []byte(outcome)})
 }
