--- a/pgscram/client.go
+++ b/pgscram/client.go
@@ -41,8 +41,8 @@
 	return unprepared
 }
 
-// Login is the client side of one login. First, Proof and Finish are called in
-// this order.
+// Login is the client side of one login. Its methods handle the messages of
+// RFC 5802 in the order client-first, client-final, server-final.
 type Login struct {
 	conversation *scram.ClientConversation
 }
