--- a/upstream/pgupstream/activity.go
+++ b/upstream/pgupstream/activity.go
@@ -14,17 +14,17 @@
 const (
 	activitySQL = "SELECT state, wait_event FROM pg_stat_activity WHERE pid = "
 	stateActive = "active"
-	// waitClientWrite is the wait event of a server that cannot deliver its
-	// answer.
+	// waitClientWrite is the wait event of a server process that is blocked
+	// while it sends its answer.
 	waitClientWrite = "ClientWrite"
 )
 
-// Active reports whether the server is executing a batch of other, from
-// pg_stat_activity. A server that waits for its caller to take the answer does
-// not count as executing.
+// Active reports whether the server is executing a batch of other. It runs a
+// query of pg_stat_activity on c. A server process that waits for its client to
+// read the answer does not count as executing.
 // Errors: *fault.Unsupported, *fault.Database, *fault.OutcomeUnknown.
 func (c *Conn) Active(ctx context.Context, other upstream.Conn) (bool, error) {
-	suspect, ok := other.(*Conn)
+	examined, ok := other.(*Conn)
 	if !ok {
 		return false, &fault.Unsupported{Feature: "activity of another adapter's connection"}
 	}
@@ -33,7 +33,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.socket.Close() })
 	defer stop()
-	result, err := c.query(activitySQL + strconv.FormatUint(uint64(suspect.pid), 10))
+	result, err := c.query(activitySQL + strconv.FormatUint(uint64(examined.pid), 10))
 	if err != nil {
 		return false, err
 	}
--- a/upstream/pgupstream/answer.go
+++ b/upstream/pgupstream/answer.go
@@ -7,55 +7,65 @@
 
 const (
 	chunkBytes = 16 << 10
-	// maxHeldBytes bounds the answer of a committing write from its first
-	// acknowledgement on, which is held back as a whole.
-	maxHeldBytes    = 8 << 20
-	maxSeveralBytes = 1 << 20
+	// maxWithheldBytes bounds the answer of a committing write from its first
+	// acknowledgement on. All of that part is withheld until the commit is
+	// confirmed.
+	maxWithheldBytes = 8 << 20
+	// maxStatementsBytes bounds what bufferStatements keeps.
+	maxStatementsBytes = 1 << 20
 )
 
-// holding says what of an answer is kept back until the batch is over.
-type holding int
+// bufferPolicy says which part of an answer is kept from the sink until the server
+// has answered the whole batch.
+type bufferPolicy int
 
 const (
-	// holdHead keeps the head of the answer until its first row, or until it
-	// fills a chunk, so that a refusal can still be rerouted.
-	holdHead holding = iota
-	// holdSeveral keeps the answers of several statements together up to
-	// maxSeveralBytes, because a later one may be refused and rerouted.
-	holdSeveral
-	// holdFromAck keeps everything from the first acknowledgement on.
-	holdFromAck
-	// holdAll keeps everything up to storeBytes.
-	holdAll
+	// bufferHead keeps the start of the answer until its first row, or until
+	// it fills a chunk. A batch that is refused as a write before that can
+	// still be sent to another server.
+	bufferHead bufferPolicy = iota
+	// bufferStatements keeps the answers to several statements together, up
+	// to maxStatementsBytes, because a later statement may be refused as a
+	// write and the batch sent to another server.
+	bufferStatements
+	// bufferFromAck keeps everything from the first acknowledgement on.
+	bufferFromAck
+	// bufferAll keeps everything, so that the ledger can store it. Above
+	// maxStoredBytes it works like bufferFromAck.
+	bufferAll
 )
 
-// answer reads the answer of one batch and passes it on.
-type answer struct {
-	conn  *Conn
-	sink  upstream.Sink
-	hold  holding
-	queue []expected
+// answerReader reads the answer to one batch and passes it to the sink, apart from
+// the answers to messages that the adapter has injected.
+type answerReader struct {
+	conn      *Conn
+	sink      upstream.Sink
+	buffering bufferPolicy
+	expected  []expectedAnswer
 
-	// held is what hasn't reached the sink.
-	held []byte
-	// ackAt is the index in held of the first acknowledgement, or -1.
-	ackAt   int
-	passed  bool
-	sawRow  bool
+	// pending holds the bytes that have not reached the sink.
+	pending []byte
+	// ackIndex is the index in pending of the first acknowledgement, or -1.
+	ackIndex int
+	// delivered is true once the sink was called.
+	delivered   bool
+	receivedRow bool
+	// discard is true if no more of the answer may reach the sink.
 	discard bool
 	sinkErr error
 	// overflowed is true if the answer is too long for the ledger.
 	overflowed bool
 
 	failure *fault.Database
-	// committed, began: a COMMIT or BEGIN was acknowledged.
+	// committed and began are true if the server has acknowledged a COMMIT or
+	// a BEGIN.
 	committed bool
 	began     bool
 	// rolledBack is true if the last acknowledgement was of a ROLLBACK.
 	rolledBack bool
 }
 
-func (a *answer) code() string {
+func (a *answerReader) code() string {
 	if a.failure == nil {
 		return ""
 	}
@@ -63,61 +73,62 @@
 }
 
 // read reads up to the last ReadyForQuery of the batch.
-func (a *answer) read() error {
-	a.ackAt = -1
+func (a *answerReader) read() error {
+	a.ackIndex = -1
 	a.synthesize()
-	for len(a.queue) > 0 {
-		if err := a.step(); err != nil {
+	for len(a.expected) > 0 {
+		if err := a.processNext(); err != nil {
 			return a.conn.fail(err)
 		}
 	}
 	return nil
 }
 
-func (a *answer) step() error {
+func (a *answerReader) processNext() error {
 	if err := a.flushBeforeWait(); err != nil {
 		return err
 	}
-	return a.next()
+	return a.readMessage()
 }
 
-// flushBeforeWait passes on rows instead of keeping them while the server
-// works on the next ones.
-func (a *answer) flushBeforeWait() error {
-	if !a.sawRow || a.failure != nil || len(a.held) == 0 || a.conn.in.buffered() > 0 {
+// flushBeforeWait passes on the rows received so far if no further bytes have
+// arrived, because the server may take long over the next row.
+func (a *answerReader) flushBeforeWait() error {
+	if !a.receivedRow || a.failure != nil || len(a.pending) == 0 || a.conn.reader.buffered() > 0 {
 		return nil
 	}
-	return a.release()
+	return a.flush()
 }
 
-// next handles one message.
-func (a *answer) next() error {
-	kind, length, err := a.conn.in.header()
+// readMessage reads one message and handles it by its type.
+func (a *answerReader) readMessage() error {
+	kind, length, err := a.conn.reader.header()
 	if err != nil {
 		return err
 	}
 	switch kind {
 	case 'D':
-		a.sawRow = true
-		return a.copy(length)
+		a.receivedRow = true
+		return a.forwardMessage(length)
 	case 'G', 'H', 'W':
-		return &surprise{detail: "COPY is not supported"}
+		return &protocolError{detail: "COPY is not supported"}
 	case 'E', 'C', 'Z':
-		return a.outcome(kind, length)
+		return a.handleOutcome(kind, length)
 	case 'S':
-		if raw, err := a.conn.in.peek(length); err == nil {
-			a.conn.noteParameter(raw[headerBytes:])
+		if raw, err := a.conn.reader.peek(length); err == nil {
+			a.conn.trackReadOnlySetting(raw[headerBytes:])
 		}
-		return a.copy(length)
+		return a.forwardMessage(length)
 	case 'N', 'A':
-		return a.copy(length)
+		return a.forwardMessage(length)
 	}
-	return a.answered(kind, length)
+	return a.matchRequest(kind, length)
 }
 
-// outcome handles the messages that carry outcomes.
-func (a *answer) outcome(kind byte, length int) error {
-	raw, err := a.conn.in.peek(length)
+// handleOutcome decodes ErrorResponse, CommandComplete and ReadyForQuery, which
+// tell the outcome of a batch.
+func (a *answerReader) handleOutcome(kind byte, length int) error {
+	raw, err := a.conn.reader.peek(length)
 	if err != nil {
 		return err
 	}
@@ -129,21 +140,21 @@
 			return a.failure
 		}
 		a.skipToSync()
-		return a.copy(length)
+		return a.forwardMessage(length)
 	case 'C':
-		a.noteTag(cstring(body))
-		if a.ackAt < 0 {
-			a.ackAt = len(a.held)
+		a.recordCommandTag(cstring(body))
+		if a.ackIndex < 0 {
+			a.ackIndex = len(a.pending)
 		}
 	case 'Z':
 		if err := a.conn.setState(body); err != nil {
 			return err
 		}
 	}
-	return a.answered(kind, length)
+	return a.matchRequest(kind, length)
 }
 
-func (a *answer) noteTag(tag string) {
+func (a *answerReader) recordCommandTag(tag string) {
 	a.rolledBack = tag == "ROLLBACK"
 	switch tag {
 	case "COMMIT", "PREPARE TRANSACTION":
@@ -153,27 +164,27 @@
 	}
 }
 
-// answered matches a message with the request that it answers, then passes it
-// on or swallows it.
-func (a *answer) answered(kind byte, length int) error {
-	if len(a.queue) == 0 {
-		return &surprise{detail: "answer without a request"}
+// matchRequest matches a message with the request that it answers and passes it
+// on, or drops it if the adapter has injected the request.
+func (a *answerReader) matchRequest(kind byte, length int) error {
+	if len(a.expected) == 0 {
+		return &protocolError{detail: "answer without a request"}
 	}
-	head := a.queue[0]
+	head := a.expected[0]
 	final, ok := match(head.kind, kind)
 	if !ok {
-		return &surprise{detail: "message " + string(rune(kind)) + " does not answer " + string(rune(head.kind))}
+		return &protocolError{detail: "message " + string(rune(kind)) + " does not answer " + string(rune(head.kind))}
 	}
 	if head.origin == injected {
-		if err := a.skip(length); err != nil {
+		if err := a.dropMessage(length); err != nil {
 			return err
 		}
-	} else if err := a.copy(length); err != nil {
+	} else if err := a.forwardMessage(length); err != nil {
 		return err
 	}
 	if final {
-		a.note(head)
-		a.queue = a.queue[1:]
+		a.trackPrepared(head)
+		a.expected = a.expected[1:]
 		a.synthesize()
 	}
 	return nil
@@ -201,8 +212,8 @@
 	return false, false
 }
 
-// note keeps track of the statements that the connection has prepared.
-func (a *answer) note(e expected) {
+// trackPrepared keeps track of the statements that the connection has prepared.
+func (a *answerReader) trackPrepared(e expectedAnswer) {
 	if e.name == "" {
 		return
 	}
@@ -214,44 +225,47 @@
 	}
 }
 
-// skipToSync drops what the server doesn't answer after an error.
-func (a *answer) skipToSync() {
-	for len(a.queue) > 0 && a.queue[0].kind != 'S' && a.queue[0].kind != 'Q' {
-		a.queue = a.queue[1:]
+// skipToSync drops the expected answers up to the next Sync or Query: after an
+// error the server skips all messages before it.
+func (a *answerReader) skipToSync() {
+	for len(a.expected) > 0 && a.expected[0].kind != 'S' && a.expected[0].kind != 'Q' {
+		a.expected = a.expected[1:]
 	}
 }
 
-// synthesize answers requests that were not sent.
-func (a *answer) synthesize() {
-	for len(a.queue) > 0 && a.queue[0].origin == synthesized {
-		a.held = append(a.held, parseComplete...)
-		a.queue = a.queue[1:]
+// synthesize answers each Parse that was not sent, because the connection has
+// prepared its statement already.
+func (a *answerReader) synthesize() {
+	for len(a.expected) > 0 && a.expected[0].origin == synthesized {
+		a.pending = append(a.pending, parseComplete...)
+		a.expected = a.expected[1:]
 	}
 }
 
-// skip drops a message.
-func (a *answer) skip(length int) error {
-	_, err := a.conn.in.peek(length)
+// dropMessage consumes a message without passing it on.
+func (a *answerReader) dropMessage(length int) error {
+	_, err := a.conn.reader.peek(length)
 	if err == nil {
-		a.conn.in.discard(headerBytes + length)
+		a.conn.reader.discard(headerBytes + length)
 	}
 	return err
 }
 
-// copy moves a message of any length towards the sink, in parts.
-func (a *answer) copy(length int) error {
+// forwardMessage adds a message of any length to pending, in parts, and flushes
+// pending whenever a chunk is full.
+func (a *answerReader) forwardMessage(length int) error {
 	for rest := headerBytes + length; rest > 0; {
-		part, err := a.conn.in.available(rest)
+		part, err := a.conn.reader.available(rest)
 		if err != nil {
 			return err
 		}
 		if !a.discard {
-			a.held = append(a.held, part...)
+			a.pending = append(a.pending, part...)
 		}
-		a.conn.in.discard(len(part))
+		a.conn.reader.discard(len(part))
 		rest -= len(part)
-		if len(a.held) >= chunkBytes {
-			if err := a.release(); err != nil {
+		if len(a.pending) >= chunkBytes {
+			if err := a.flush(); err != nil {
 				return err
 			}
 		}
@@ -259,69 +273,71 @@
 	return nil
 }
 
-// heldTooLong reports an answer that can neither be passed on nor kept.
-type heldTooLong struct{}
+// withheldTooLong reports an answer of which more than maxWithheldBytes would have
+// to be withheld.
+type withheldTooLong struct{}
 
-func (e *heldTooLong) Error() string {
+func (e *withheldTooLong) Error() string {
 	return "the answer of a committing batch is too long to be held back"
 }
 
-// release passes on what the batch's holding allows.
-func (a *answer) release() error {
-	if a.hold == holdSeveral && !a.passed && len(a.held) <= maxSeveralBytes {
+// flush passes on as much of pending as the buffering allows.
+func (a *answerReader) flush() error {
+	if a.buffering == bufferStatements && !a.delivered && len(a.pending) <= maxStatementsBytes {
 		return nil
 	}
-	end := len(a.held)
-	if a.hold >= holdFromAck && a.ackAt >= 0 {
-		end = a.ackAt
+	end := len(a.pending)
+	if a.buffering >= bufferFromAck && a.ackIndex >= 0 {
+		end = a.ackIndex
 	}
-	if a.hold == holdAll && !a.overflowed {
-		if len(a.held) <= storeBytes {
+	if a.buffering == bufferAll && !a.overflowed {
+		if len(a.pending) <= maxStoredBytes {
 			return nil
 		}
 		a.overflowed = true
 	}
-	if len(a.held)-end > maxHeldBytes {
-		return &heldTooLong{}
+	if len(a.pending)-end > maxWithheldBytes {
+		return &withheldTooLong{}
 	}
-	a.passUpTo(end)
+	a.deliverUpTo(end)
 	return nil
 }
 
-// passUpTo gives held bytes to the sink. After an error of the sink the rest of
-// the answer is dropped.
-func (a *answer) passUpTo(end int) {
+// deliverUpTo passes the first end bytes of pending to the sink. After an error of
+// the sink the rest of the answer is dropped.
+func (a *answerReader) deliverUpTo(end int) {
 	if end == 0 || a.discard {
 		return
 	}
-	a.passed = true
-	err := a.sink(a.held[:end])
+	a.delivered = true
+	err := a.sink(a.pending[:end])
 	if err != nil {
 		a.sinkErr = err
 		a.discard = true
-		a.held = a.held[:0]
-		a.ackAt = -1
+		a.pending = a.pending[:0]
+		a.ackIndex = -1
 		return
 	}
-	a.held = append(a.held[:0], a.held[end:]...)
-	if a.ackAt >= 0 {
-		a.ackAt -= end
+	a.pending = append(a.pending[:0], a.pending[end:]...)
+	if a.ackIndex >= 0 {
+		a.ackIndex -= end
 	}
 }
 
-// finish passes on the rest of an answer that needs no confirmation.
-func (a *answer) finish() error {
-	a.passUpTo(len(a.held))
+// deliverRest passes on the rest of an answer that needs no confirmation.
+func (a *answerReader) deliverRest() error {
+	a.deliverUpTo(len(a.pending))
 	return a.sinkErr
 }
 
-// tail passes on what precedes the first acknowledgement and returns the rest.
-func (a *answer) tail() ([]byte, error) {
-	if a.ackAt > 0 {
-		a.passUpTo(a.ackAt)
+// deliverBeforeAck passes on what precedes the first acknowledgement and returns
+// the rest.
+func (a *answerReader) deliverBeforeAck() ([]byte, error) {
+	if a.ackIndex > 0 {
+		a.deliverUpTo(a.ackIndex)
 	}
 	if a.sinkErr != nil {
 		return nil, a.sinkErr
 	}
-	return append([]byte{}, a.held...), nil
+	return append([]byte{}, a.pending...), nil
 }
--- a/upstream/pgupstream/auth.go
+++ b/upstream/pgupstream/auth.go
@@ -15,10 +15,10 @@
 	accepted bool
 }
 
-// answer handles an authentication request. A server that accepts the user
-// without asking is taken as one that trusts it; a server that has begun SCRAM
-// has to finish it.
-func (a *authentication) answer(body []byte) error {
+// handleRequest answers an authentication request. A server may accept the user
+// without authentication, but one that has started SCRAM has to complete it before
+// it accepts.
+func (a *authentication) handleRequest(body []byte) error {
 	if len(body) < 4 {
 		return unavailable("start-up: malformed authentication request")
 	}
@@ -27,11 +27,11 @@
 	case pgproto3.AuthTypeOk:
 		return a.accept()
 	case pgproto3.AuthTypeSASL:
-		return a.begin(body)
+		return a.startSCRAM(body)
 	case pgproto3.AuthTypeSASLContinue:
-		return a.prove(data)
+		return a.answerChallenge(data)
 	case pgproto3.AuthTypeSASLFinal:
-		return a.finish(data)
+		return a.verifyServer(data)
 	}
 	return unavailable("start-up: the server asks for authentication other than " + pgscram.Mechanism)
 }
@@ -44,7 +44,7 @@
 	return nil
 }
 
-func (a *authentication) begin(body []byte) error {
+func (a *authentication) startSCRAM(body []byte) error {
 	if a.conn.dialer.scram == nil {
 		return unavailable("start-up: the server asks for a password and none is set")
 	}
@@ -67,7 +67,7 @@
 	return a.send(&pgproto3.SASLInitialResponse{AuthMechanism: pgscram.Mechanism, Data: first})
 }
 
-func (a *authentication) prove(challenge []byte) error {
+func (a *authentication) answerChallenge(challenge []byte) error {
 	if a.login == nil {
 		return unavailable("start-up: a challenge without a login")
 	}
@@ -78,7 +78,7 @@
 	return a.send(&pgproto3.SASLResponse{Data: proof})
 }
 
-func (a *authentication) finish(outcome []byte) error {
+func (a *authentication) verifyServer(outcome []byte) error {
 	if a.login == nil {
 		return unavailable("start-up: an outcome without a login")
 	}
--- a/upstream/pgupstream/conn.go
+++ b/upstream/pgupstream/conn.go
@@ -19,55 +19,59 @@
 const (
 	statusSQL       = "SELECT * FROM lovageslip_status()"
 	readOnlySetting = "default_transaction_read_only"
-	// abortDrain bounds how long a batch whose context has ended may take to
-	// answer its cancel request.
-	abortDrain = 2 * time.Second
-	// waitGrace is added to the timeout of Wait for the answer's way.
+	// cancelAnswerTimeout bounds how long the server may take to answer a
+	// batch after the batch's context has ended and it is being cancelled.
+	cancelAnswerTimeout = 2 * time.Second
+	// waitGrace is added to the timeout of Wait, so that the server's answer
+	// has time to arrive.
 	waitGrace = 2 * time.Second
 )
 
 // Conn is a connection to one server. One goroutine uses it at a time, but
 // Cancel, Broken and Close may be called at any time.
 type Conn struct {
-	dialer  *Dialer
-	socket  net.Conn
-	address string
-	raw     syscall.RawConn
-	in      reader
-	// out and held are buffers that are used again.
-	out    []byte
-	held   []byte
-	pid    uint32
-	secret []byte
+	dialer     *Dialer
+	socket     net.Conn
+	address    string
+	descriptor syscall.RawConn
+	reader     reader
+	// requestBuffer and answerBuffer are reused for the next batch.
+	requestBuffer []byte
+	answerBuffer  []byte
+	pid           uint32
+	secret        []byte
 
 	state    upstream.TransactionState
 	readOnly bool
 	prepared map[string]struct{}
 	broken   atomic.Bool
 
-	// gate is held while the server may not be cancelled: between batches,
-	// during a change of mode, and while statements of the ledger run. It
-	// guards running and cancelSent. It is a channel, so that waiting for it
-	// can end.
-	gate       chan struct{}
-	running    bool
-	cancelSent bool
-	// sequence counts batches, so that a late cancel doesn't hit the next.
-	sequence atomic.Uint64
+	// cancelLock guards cancellable and cancelSent. Run holds it while no
+	// cancel request may be sent: during a change of mode, and while
+	// statements of the ledger run, apart from the claim. It is a channel, so
+	// that waiting for it can time out. Between batches it is free, and
+	// cancellable is false.
+	cancelLock  chan struct{}
+	cancellable bool
+	cancelSent  bool
+	// batchSequence counts batches, so that a late cancel doesn't hit the next
+	// one.
+	batchSequence atomic.Uint64
 }
 
 var _ upstream.Conn = (*Conn)(nil)
 
-// newConn takes the transport and the descriptor beneath it.
+// newConn returns a connection over socket, which may be encrypted. raw gives
+// access to the descriptor of the TCP socket below it.
 func newConn(d *Dialer, socket net.Conn, raw syscall.RawConn, address string) *Conn {
 	return &Conn{
-		dialer:   d,
-		socket:   socket,
-		raw:      raw,
-		address:  address,
-		in:       newReader(socket),
-		prepared: map[string]struct{}{},
-		gate:     make(chan struct{}, 1),
+		dialer:     d,
+		socket:     socket,
+		descriptor: raw,
+		address:    address,
+		reader:     newReader(socket),
+		prepared:   map[string]struct{}{},
+		cancelLock: make(chan struct{}, 1),
 	}
 }
 
@@ -90,7 +94,7 @@
 	c.socket.Close()
 	c.dialer.metrics.Counter("broken").Inc(1)
 	reason := fault.ReasonOutcomeUnknown
-	if _, ok := err.(*surprise); ok {
+	if _, ok := err.(*protocolError); ok {
 		reason = fault.ReasonProtocol
 	}
 	if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
@@ -99,8 +103,8 @@
 	return &fault.OutcomeUnknown{Reason: reason, Detail: c.address + ": " + err.Error(), Err: err}
 }
 
-// send writes a whole request. While it hasn't written a byte, nothing can
-// have run.
+// send writes a whole request. If not even one byte was written, nothing can have
+// run, and the error is *fault.NotRun.
 func (c *Conn) send(raw []byte) error {
 	n, err := c.socket.Write(raw)
 	if err == nil {
@@ -114,13 +118,13 @@
 	return unavailable(c.address + ": " + err.Error())
 }
 
-// checkUsable refuses a connection that is known to be dead, before anything
-// is sent on it.
+// checkUsable returns *fault.NotRun if the connection is known to be closed. It is
+// called before anything is sent.
 func (c *Conn) checkUsable() error {
 	if c.broken.Load() {
 		return unavailable(c.address + ": the connection is broken")
 	}
-	if c.in.buffered() == 0 && socketUsable(c.raw, c.dialer.options.TLS != nil) {
+	if c.reader.buffered() == 0 && socketUsable(c.descriptor, c.dialer.options.TLS != nil) {
 		return nil
 	}
 	c.broken.Store(true)
@@ -128,13 +132,14 @@
 	return unavailable(c.address + ": the server has closed the connection")
 }
 
-// rows is the answer to an injected query, as text; nil stands for NULL.
-type rows struct {
+// queryResult is the answer to an injected query: its rows in text format, with nil
+// for NULL, or the error that the database answered.
+type queryResult struct {
 	values  [][][]byte
 	failure *fault.Database
 }
 
-func (r *rows) code() string {
+func (r *queryResult) code() string {
 	if r.failure == nil {
 		return ""
 	}
@@ -148,7 +153,7 @@
 }
 
 // query runs an injected statement and reads its answer.
-func (c *Conn) query(sql string) (*rows, error) {
+func (c *Conn) query(sql string) (*queryResult, error) {
 	if err := c.send(appendQuery(nil, sql)); err != nil {
 		return nil, err
 	}
@@ -156,10 +161,10 @@
 }
 
 // readRows reads the answer to an injected query up to ReadyForQuery.
-func (c *Conn) readRows() (*rows, error) {
-	result := &rows{}
+func (c *Conn) readRows() (*queryResult, error) {
+	result := &queryResult{}
 	for {
-		kind, body, err := c.in.message()
+		kind, body, err := c.reader.message()
 		if err != nil {
 			return nil, c.fail(err)
 		}
@@ -171,16 +176,17 @@
 		case 'Z':
 			return result, c.setState(body)
 		case 'S':
-			c.noteParameter(body)
+			c.trackReadOnlySetting(body)
 		case 'T', 'C', 'I', 'N', 'A':
 		default:
-			return nil, c.fail(&surprise{detail: "unexpected message " + string(rune(kind))})
+			return nil, c.fail(&protocolError{detail: "unexpected message " + string(rune(kind))})
 		}
 	}
 }
 
-// noteParameter keeps track of a mode that the caller itself has set.
-func (c *Conn) noteParameter(body []byte) {
+// trackReadOnlySetting follows changes of the mode that the caller makes by a SET
+// of its own. body is a ParameterStatus message.
+func (c *Conn) trackReadOnlySetting(body []byte) {
 	name := cstring(body)
 	if name == readOnlySetting {
 		c.readOnly = cstring(body[len(name)+1:]) == "on"
@@ -194,7 +200,7 @@
 		'E': upstream.StateFailed,
 	}
 	if len(body) != 1 || states[body[0]] == 0 {
-		return c.fail(&surprise{detail: "unknown transaction state"})
+		return c.fail(&protocolError{detail: "unknown transaction state"})
 	}
 	c.state = states[body[0]]
 	return nil
@@ -223,8 +229,10 @@
 	return values
 }
 
-// command runs one of the platform's functions within ctx.
-func (c *Conn) command(ctx context.Context, sql string) (upstream.Status, error) {
+// callFunction runs a statement that calls one of the server's lovageslip
+// functions, and returns the status that it answers. The connection is broken if
+// ctx ends before.
+func (c *Conn) callFunction(ctx context.Context, sql string) (upstream.Status, error) {
 	if err := c.checkUsable(); err != nil {
 		return upstream.Status{}, err
 	}
@@ -243,9 +251,9 @@
 	return c.statusOf(result)
 }
 
-func (c *Conn) statusOf(result *rows) (upstream.Status, error) {
+func (c *Conn) statusOf(result *queryResult) (upstream.Status, error) {
 	if len(result.values) != 1 {
-		return upstream.Status{}, c.fail(&surprise{detail: "status without a row"})
+		return upstream.Status{}, c.fail(&protocolError{detail: "status without a row"})
 	}
 	status, err := parseStatus(result.values[0])
 	if err != nil {
@@ -257,7 +265,7 @@
 // Status asks for the server's status.
 // Errors: *fault.NotRun, *fault.OutcomeUnknown, *fault.Database.
 func (c *Conn) Status(ctx context.Context) (upstream.Status, error) {
-	return c.command(ctx, statusSQL)
+	return c.callFunction(ctx, statusSQL)
 }
 
 // Wait returns once the server includes p or the timeout has passed.
@@ -266,30 +274,30 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout+waitGrace)
 	defer cancel()
 	millis := max(timeout.Milliseconds(), 1)
-	return c.command(ctx, call("wait", uint64(p.Term), uint64(p.Offset), uint64(millis)))
+	return c.callFunction(ctx, functionCall("wait", uint64(p.Term), uint64(p.Offset), uint64(millis)))
 }
 
 // Fence makes the server promise to accept nothing below term.
 // Errors: as for Status; *fault.Database with code 55L01 if it has promised
 // more.
 func (c *Conn) Fence(ctx context.Context, term upstream.Term) (upstream.Status, error) {
-	return c.command(ctx, call("fence", uint64(term)))
+	return c.callFunction(ctx, functionCall("fence", uint64(term)))
 }
 
 // Promote makes the server the primary of term.
 // Errors: as for Fence.
 func (c *Conn) Promote(ctx context.Context, term upstream.Term) (upstream.Status, error) {
-	return c.command(ctx, call("promote", uint64(term)))
+	return c.callFunction(ctx, functionCall("promote", uint64(term)))
 }
 
 // Follow makes the server a replica of the primary at address in term.
 // Errors: as for Fence.
 func (c *Conn) Follow(ctx context.Context, term upstream.Term, address string) (upstream.Status, error) {
 	arguments := strconv.FormatUint(uint64(term), 10) + ", " + quote(address)
-	return c.command(ctx, "SELECT * FROM lovageslip_follow("+arguments+")")
+	return c.callFunction(ctx, "SELECT * FROM lovageslip_follow("+arguments+")")
 }
 
-func call(name string, arguments ...uint64) string {
+func functionCall(name string, arguments ...uint64) string {
 	texts := make([]string, len(arguments))
 	for i, n := range arguments {
 		texts[i] = strconv.FormatUint(n, 10)
@@ -342,7 +350,7 @@
 		return err
 	}
 	if result.failure != nil || c.state != upstream.StateIdle {
-		return c.fail(&surprise{detail: "rollback failed"})
+		return c.fail(&protocolError{detail: "rollback failed"})
 	}
 	return nil
 }
--- a/upstream/pgupstream/dial.go
+++ b/upstream/pgupstream/dial.go
@@ -1,6 +1,7 @@
-// Package pgupstream implements the upstream port over the PostgreSQL v3
-// protocol. Answers pass through as raw messages; only the messages that carry
-// outcomes are decoded.
+// Package pgupstream implements the connections of package upstream over the
+// PostgreSQL v3 protocol. Proxies and control hosts use it to reach the database
+// servers. Answers are passed on as raw messages; only the messages that tell the
+// outcome of a batch are decoded.
 package pgupstream
 
 import (
@@ -24,12 +25,12 @@
 const (
 	defaultUser        = "lovageslip"
 	defaultDialTimeout = 5 * time.Second
-	// transactionRest is how long the server lets a transaction rest between
-	// two statements before it ends the session. An owner that is frozen
-	// cannot end what it has open, and the next owner's writes would wait
-	// for its locks; owners that run keep their transactions alive. It is
+	// transactionIdleTimeout is how long a transaction may be idle between two
+	// statements before the server ends the session. A frozen owner cannot end
+	// its open transactions, and the next owner's writes would wait for their
+	// locks. Owners that run keep their transactions alive. The timeout equals
 	// the duration of an owner's lease.
-	transactionRest = 3 * time.Second
+	transactionIdleTimeout = 3 * time.Second
 )
 
 // Options configures a Dialer.
@@ -38,12 +39,13 @@
 	Metrics tally.Scope
 	// User to connect as; "lovageslip" if empty.
 	User string
-	// Password answers a server that asks for SCRAM-SHA-256; empty for none.
-	// It is never sent, and no other way of authentication is answered.
+	// Password is used if the server asks for SCRAM-SHA-256; empty for none.
+	// It is never sent itself, and no other authentication method is
+	// supported.
 	Password string
 	// TLS encrypts every connection, cancel requests included. The
-	// certificate must name the IP number of the upstream. A server that
-	// declines is not used. Nil means plaintext.
+	// certificate must name the IP number of the upstream. Dial fails if the
+	// server declines TLS. Nil means plaintext.
 	TLS *tls.Config
 	// DialTimeout bounds a Dial whose context has no earlier deadline; 5 s
 	// if zero.
@@ -90,7 +92,7 @@
 		return nil, unavailable("dial " + address + ": " + err.Error())
 	}
 	stop := context.AfterFunc(ctx, func() { _ = socket.SetDeadline(time.Now()) })
-	c, err := d.start(socket, address, database)
+	c, err := d.openConn(socket, address, database)
 	if !stop() && err == nil {
 		err = unavailable("dial " + address + ": " + ctx.Err().Error())
 	}
@@ -102,9 +104,9 @@
 	return c, nil
 }
 
-// start makes a connection out of a new socket.
-func (d *Dialer) start(socket net.Conn, address, database string) (*Conn, error) {
-	secured, err := d.secure(socket, address)
+// openConn negotiates TLS, if it is configured, and logs in over a new socket.
+func (d *Dialer) openConn(socket net.Conn, address, database string) (*Conn, error) {
+	secured, err := d.negotiateTLS(socket, address)
 	if err != nil {
 		return nil, err
 	}
@@ -122,7 +124,7 @@
 		Parameters: map[string]string{
 			"user":                                c.dialer.options.User,
 			"database":                            database,
-			"idle_in_transaction_session_timeout": strconv.FormatInt(transactionRest.Milliseconds(), 10),
+			"idle_in_transaction_session_timeout": strconv.FormatInt(transactionIdleTimeout.Milliseconds(), 10),
 		},
 	}
 	raw, err := message.Encode(nil)
@@ -134,7 +136,7 @@
 	}
 	auth := &authentication{conn: c}
 	for {
-		kind, body, err := c.in.message()
+		kind, body, err := c.reader.message()
 		if err != nil {
 			return unavailable("start-up: " + err.Error())
 		}
@@ -148,7 +150,7 @@
 func (c *Conn) startupMessage(auth *authentication, kind byte, body []byte) (bool, error) {
 	switch kind {
 	case 'R':
-		return false, auth.answer(body)
+		return false, auth.handleRequest(body)
 	case 'K':
 		var key pgproto3.BackendKeyData
 		if err := key.Decode(body); err != nil {
--- a/upstream/pgupstream/fault_test.go
+++ b/upstream/pgupstream/fault_test.go
@@ -16,7 +16,8 @@
 	"lovageslip/upstream"
 )
 
-// Guards against an answer that is cut off and still taken for complete.
+// Guards against an answer that is taken for complete although the connection
+// closed in the middle of it.
 func TestLinkCutWithinAnswer(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	mustWrite(t, dialConn(t, server.Address()), "CREATE TABLE v (id INTEGER PRIMARY KEY, n TEXT)")
@@ -25,7 +26,7 @@
 		conn := dialConn(t, link.address())
 		link.cutAfter(cut)
 		c := write(conn, fmt.Sprintf("INSERT INTO v VALUES (%d, 'x') RETURNING *", cut), "")
-		link.heal()
+		link.restore()
 		if c.err == nil {
 			assert.Assert(t, strings.HasSuffix(c.kinds(), "CZ"))
 			break
@@ -37,8 +38,9 @@
 	}
 }
 
-// Guards against a late answer, or a late cancel, that reaches the next batch.
-func TestCancelledBatchStaysApart(t *testing.T) {
+// Guards against a cancelled batch whose late answer, or late cancel request,
+// reaches the next batch on the connection.
+func TestLateCancelDoesNotReachNextBatch(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	conn := dialConn(t, server.Address())
 	random := rand.New(rand.NewPCG(1, 2))
@@ -58,8 +60,8 @@
 	}
 }
 
-// Guards against a batch that hangs when its context ends, on a server that
-// answers and on one that doesn't.
+// Guards against a batch that goes on after its context has ended, with a server
+// that answers and with one that is frozen.
 func TestContextEndsBatch(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	conn := dialConn(t, server.Address())
@@ -80,29 +82,30 @@
 	assert.Assert(t, conn.Broken())
 }
 
-// Guards against a batch that is sent on a connection which the server has
-// closed, and whose outcome is then unknown without need.
+// Guards against a batch that is sent on a connection which the server has closed.
+// Its outcome would be unknown, although it can't have run.
 func TestClosedConnectionRunsNothing(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	conn := dialConn(t, server.Address())
 	server.Kill()
-	eventually(t, "connection closed", func() bool { return !socketUsable(conn.raw, false) })
-	notRun(t, write(conn, "CREATE TABLE v (id INTEGER)", "").err, fault.ReasonUpstreamUnavailable)
+	eventually(t, "connection closed", func() bool { return !socketUsable(conn.descriptor, false) })
+	assertNotRun(t, write(conn, "CREATE TABLE v (id INTEGER)", "").err, fault.ReasonUpstreamUnavailable)
 	_, err := NewDialer(Options{}).Dial(t.Context(), server.Address(), "db")
-	notRun(t, err, fault.ReasonUpstreamUnavailable)
+	assertNotRun(t, err, fault.ReasonUpstreamUnavailable)
 }
 
-// Guards against a refusal for too many connections that looks like a broken
-// link.
+// Guards against a refusal for too many connections (SQLSTATE 53300) that looks
+// like a connection failure.
 func TestTooManyConnections(t *testing.T) {
 	server := startServer(t, standin.Options{MaxConnections: 1})
 	dialConn(t, server.Address())
 	_, err := NewDialer(Options{}).Dial(t.Context(), server.Address(), "db")
-	notRun(t, err, fault.ReasonUpstreamUnavailable)
+	assertNotRun(t, err, fault.ReasonUpstreamUnavailable)
 	assert.ErrorContains(t, err, "53300")
 }
 
-// Guards against a large answer that is kept in memory or arrives damaged.
+// Guards against a large answer that is kept in memory as a whole or arrives
+// damaged.
 func TestLargeAnswerStreams(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	conn := dialConn(t, server.Address())
@@ -117,24 +120,26 @@
 	assert.Equal(t, read(conn, "SELECT 1").kinds(), "TDCZ")
 }
 
-// Guards against a sink's failure that leaves answer bytes for the next batch.
+// Guards against a failed sink after which the rest of the answer is read as that
+// of the next batch.
 func TestSinkFailureLeavesConnectionClean(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	conn := dialConn(t, server.Address())
-	gone := &fault.IO{Op: "write", Err: context.Canceled}
+	sinkErr := &fault.IO{Op: "write", Err: context.Canceled}
 	batch := upstream.Batch{Mode: upstream.ModeRead, Payload: query("BEGIN READ ONLY; SELECT hex(zeroblob(200000))")}
-	_, err := conn.Run(t.Context(), batch, nil, func([]byte) error { return gone })
-	assert.Assert(t, err == error(gone), "%v", err)
+	_, err := conn.Run(t.Context(), batch, nil, func([]byte) error { return sinkErr })
+	assert.Assert(t, err == error(sinkErr), "%v", err)
 	assert.Equal(t, read(conn, "SELECT 1").kinds(), "TDCZ")
 }
 
-// Guards against requests that are unknown to the protocol or have no end.
+// Guards against sending payloads with unsupported or incomplete messages, or
+// without a Query or Sync at the end.
 func TestBadPayloadRunsNothing(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	conn := dialConn(t, server.Address())
 	for _, payload := range [][]byte{nil, {'Q'}, {'Q', 0, 0, 0, 99}, {'X', 0, 0, 0, 4}, {'H', 0, 0, 0, 4}} {
 		c := runBatch(conn, upstream.Batch{Mode: upstream.ModeRead, Payload: payload}, nil)
-		notRun(t, c.err, fault.ReasonProtocol)
+		assertNotRun(t, c.err, fault.ReasonProtocol)
 	}
 	assert.Equal(t, read(conn, "SELECT 1").kinds(), "TDCZ")
 }
@@ -143,7 +148,7 @@
 func TestAnswerInSmallParts(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	link := newLink(t, server.Address())
-	link.add(`{"name":"slice","type":"slicer","attributes":{"average_size":7,"size_variation":6,"delay":0}}`)
+	link.addToxic(`{"name":"slice","type":"slicer","attributes":{"average_size":7,"size_variation":6,"delay":0}}`)
 	conn := dialConn(t, link.address())
 	mustWrite(t, conn, createV+"; INSERT INTO v VALUES (1, 'a'), (2, 'b')")
 	for range 20 {
--- a/upstream/pgupstream/ledger.go
+++ b/upstream/pgupstream/ledger.go
@@ -13,52 +13,57 @@
 )
 
 const (
-	// storeBytes is the longest answer that the ledger keeps.
-	storeBytes        = 64 << 10
+	// maxStoredBytes is the longest answer that the ledger keeps.
+	maxStoredBytes    = 64 << 10
 	maxRequestIDBytes = 128
-	ledgerTries       = 3
+	maxLedgerAttempts = 3
 
-	codeUnique       = "23505"
-	codeMissingTable = "42P01"
-	codeTableExists  = "42P07"
+	codeUniqueViolation = "23505"
+	codeUndefinedTable  = "42P01"
+	codeDuplicateTable  = "42P07"
 
+	// createLedgerSQL creates the request ledger: a table of the request ids of
+	// committed writes, with their answers.
 	createLedgerSQL = "CREATE TABLE IF NOT EXISTS lovageslip_requests " +
 		"(id TEXT PRIMARY KEY, created_at BIGINT NOT NULL, answer TEXT)"
 )
 
-// ledgerRetry says that the ledger was prepared and the request can start anew;
-// nothing of it has run, because its transaction was rolled back.
+// ledgerRetry reports that the request can start again: the ledger did not exist
+// and was created, or the row of an earlier try was deleted meanwhile. Nothing of
+// the request has run, because its transaction was rolled back.
 type ledgerRetry struct{}
 
-func (e *ledgerRetry) Error() string { return "the request ledger has been created" }
+func (e *ledgerRetry) Error() string {
+	return "the request ledger was created or its row deleted; the request can start again"
+}
 
-// readOnlyClaim says that the transaction is read only by the caller's own
-// choice, so that it needs no ledger row.
-type readOnlyClaim struct{}
+// readOnlyTransaction reports that the caller has begun a read-only transaction,
+// which needs no ledger row.
+type readOnlyTransaction struct{}
 
-func (e *readOnlyClaim) Error() string { return "the transaction is read only" }
+func (e *readOnlyTransaction) Error() string { return "the transaction is read only" }
 
-// runOnce runs a write that carries a request id: the ledger's unique key lets
-// at most one transaction with that id commit.
-func (c *Conn) runOnce(id string, r *request, sink upstream.Sink) (upstream.Result, error) {
+// runIdempotent runs a write that carries a request id. The ledger's unique key
+// lets at most one transaction with that id commit.
+func (c *Conn) runIdempotent(id string, r *request, sink upstream.Sink) (upstream.Result, error) {
 	if len(id) > maxRequestIDBytes || strings.IndexByte(id, 0) >= 0 {
 		return upstream.Result{}, &fault.Invalid{Field: "request id", Value: id, Allowed: "1 to 128 bytes without zero bytes"}
 	}
-	if err := c.writeMode(); err != nil {
+	if err := c.setWriteMode(); err != nil {
 		return upstream.Result{}, err
 	}
 	var result upstream.Result
 	var err error
-	for range ledgerTries {
+	for range maxLedgerAttempts {
 		if r.onlyBegin() {
-			result, err = c.beginOnce(id, r, sink)
+			result, err = c.beginIdempotent(id, r, sink)
 		} else {
-			result, err = c.wrapOnce(id, r, sink)
+			result, err = c.runInOwnTransaction(id, r, sink)
 		}
 		switch err.(type) {
 		case *ledgerRetry:
 			continue
-		case *readOnlyClaim:
+		case *readOnlyTransaction:
 			return c.runWrite(r, sink)
 		}
 		return result, err
@@ -66,8 +71,8 @@
 	return upstream.Result{}, unavailable("the request ledger can't be used")
 }
 
-func (c *Conn) writeMode() error {
-	change := c.modeChange(false)
+func (c *Conn) setWriteMode() error {
+	change := c.modeChangeSQL(false)
 	if change == "" {
 		return nil
 	}
@@ -77,13 +82,13 @@
 	return c.readModeChange(change, false)
 }
 
-// beginOnce runs a BEGIN, then inserts the ledger row as the transaction's first
-// statement. The caller hears of the BEGIN after that.
-func (c *Conn) beginOnce(id string, r *request, sink upstream.Sink) (upstream.Result, error) {
-	if err := c.send(r.out); err != nil {
+// beginIdempotent runs a BEGIN, then inserts the ledger row as the transaction's
+// first statement. The answer to the BEGIN is passed on after that.
+func (c *Conn) beginIdempotent(id string, r *request, sink upstream.Sink) (upstream.Result, error) {
+	if err := c.send(r.encoded); err != nil {
 		return upstream.Result{}, err
 	}
-	a := c.newAnswer(r, sink, holdAll)
+	a := c.newAnswerReader(r, sink, bufferAll)
 	if err := a.read(); err != nil {
 		return upstream.Result{}, err
 	}
@@ -104,7 +109,7 @@
 // claim inserts the ledger row. Without an error and without Replayed, the id
 // is claimed and the transaction is open.
 func (c *Conn) claim(id, sql string) (upstream.Result, error) {
-	result, err := c.claimQuery(sql)
+	result, err := c.insertClaim(sql)
 	if err != nil {
 		return upstream.Result{}, err
 	}
@@ -115,32 +120,32 @@
 		return upstream.Result{}, err
 	}
 	switch result.code() {
-	case codeUnique:
+	case codeUniqueViolation:
 		return c.replay(id)
-	case codeMissingTable:
+	case codeUndefinedTable:
 		return upstream.Result{}, c.createLedger()
 	case codeReadOnly:
-		return upstream.Result{}, c.readOnlyRefusal(result.failure)
+		return upstream.Result{}, c.readOnlyClaimError(result.failure)
 	}
-	return upstream.Result{}, c.claimRefused(result.failure)
+	return upstream.Result{}, c.claimError(result.failure)
 }
 
-// claimQuery inserts the row. It may wait for another transaction with the same
-// id, so it can be cancelled. If the link breaks, nothing has run: the
+// insertClaim inserts the row. It can be cancelled, because it may wait for another
+// transaction with the same id. If the connection breaks, nothing has run: the
 // transaction can't commit, because COMMIT was not sent.
-func (c *Conn) claimQuery(sql string) (*rows, error) {
-	c.enterBatch()
+func (c *Conn) insertClaim(sql string) (*queryResult, error) {
+	c.allowCancel()
 	result, err := c.query(sql)
-	c.leaveBatch()
+	c.disallowCancel()
 	if err != nil {
 		return nil, unavailable("request ledger: " + err.Error())
 	}
 	return result, nil
 }
 
-// claimRefused reports a claim that failed. Its transaction is rolled back, so
-// the request hasn't run.
-func (c *Conn) claimRefused(failure *fault.Database) error {
+// claimError returns the error for a claim that failed. Its transaction is rolled
+// back, so the request hasn't run.
+func (c *Conn) claimError(failure *fault.Database) error {
 	switch failure.Code {
 	case codeReadOnly:
 		return &fault.NotRun{Reason: fault.ReasonNotPrimary, Detail: failure.Message}
@@ -150,17 +155,18 @@
 	return unavailable("request ledger: " + failure.Error())
 }
 
-// readOnlyRefusal tells a server that may not write from a transaction that
-// doesn't want to.
-func (c *Conn) readOnlyRefusal(failure *fault.Database) error {
-	after, err := c.askStatus()
+// readOnlyClaimError returns the error for a claim that was refused as read only.
+// It is *readOnlyTransaction if the server accepts writes, because the caller has
+// then begun a read-only transaction.
+func (c *Conn) readOnlyClaimError(failure *fault.Database) error {
+	after, err := c.queryStatus()
 	if err != nil {
 		return err
 	}
-	if leads(after) {
-		return &readOnlyClaim{}
+	if acceptsWrites(after) {
+		return &readOnlyTransaction{}
 	}
-	return c.claimRefused(failure)
+	return c.claimError(failure)
 }
 
 func (c *Conn) createLedger() error {
@@ -169,17 +175,17 @@
 		return err
 	}
 	switch result.code() {
-	case "", codeTableExists, codeUnique:
+	case "", codeDuplicateTable, codeUniqueViolation:
 		// Another connection may have created it at the same moment.
 		return &ledgerRetry{}
 	}
-	return c.claimRefused(result.failure)
+	return c.claimError(result.failure)
 }
 
 // replay returns the stored answer of the transaction that committed with the
-// same id. The status is asked afterwards, so its position covers that commit.
+// same id. The status is queried afterwards, so its position covers that commit.
 func (c *Conn) replay(id string) (upstream.Result, error) {
-	before, err := c.askStatus()
+	before, err := c.queryStatus()
 	if err != nil {
 		return upstream.Result{}, err
 	}
@@ -188,18 +194,18 @@
 		return upstream.Result{}, err
 	}
 	if found.failure != nil {
-		return upstream.Result{}, c.claimRefused(found.failure)
+		return upstream.Result{}, c.claimError(found.failure)
 	}
 	if len(found.values) != 1 {
 		// The row was deleted between the two statements.
 		return upstream.Result{}, &ledgerRetry{}
 	}
-	after, err := c.askStatus()
+	after, err := c.queryStatus()
 	if err != nil {
 		return upstream.Result{}, err
 	}
-	if !sameReign(before, after) {
-		return upstream.Result{}, c.unconfirmable()
+	if !stayedPrimary(before, after) {
+		return upstream.Result{}, c.unconfirmedCommit()
 	}
 	result := upstream.Result{State: c.state, After: *after, Committed: true, Replayed: true}
 	stored := found.values[0][0]
@@ -208,53 +214,53 @@
 	}
 	tail, err := base64.StdEncoding.DecodeString(string(stored))
 	if err != nil {
-		return upstream.Result{}, c.fail(&surprise{detail: "stored answer is damaged"})
+		return upstream.Result{}, c.fail(&protocolError{detail: "stored answer is damaged"})
 	}
 	result.Tail = tail
 	return result, nil
 }
 
-// wrapOnce runs a batch inside a transaction of the adapter's own, which also
-// holds the ledger row and the answer. The batch is sent only after the row is
-// in, because a ROLLBACK in the batch could otherwise escape from a transaction
-// that the row's refusal has failed.
-func (c *Conn) wrapOnce(id string, r *request, sink upstream.Sink) (upstream.Result, error) {
+// runInOwnTransaction runs a batch inside a transaction of the adapter's own, which
+// also inserts the ledger row and stores the answer. The batch is sent only after
+// the row is inserted: if the insert failed, a ROLLBACK in the batch would end the
+// failed transaction, and the statements behind it would run without a row.
+func (c *Conn) runInOwnTransaction(id string, r *request, sink upstream.Sink) (upstream.Result, error) {
 	claimed, err := c.claim(id, "BEGIN; "+insertSQL(id))
 	if err != nil || claimed.Replayed {
 		return claimed, err
 	}
-	if err := c.send(append(appendQuery(nil, statusSQL), r.out...)); err != nil {
+	if err := c.send(append(appendQuery(nil, statusSQL), r.encoded...)); err != nil {
 		return upstream.Result{}, err
 	}
-	a := c.newAnswer(r, sink, holdAll)
+	a := c.newAnswerReader(r, sink, bufferAll)
 	before, err := c.readStatusAndBatch(a)
 	if err != nil {
 		return upstream.Result{}, err
 	}
 	switch {
 	case c.state == upstream.StateFailed && !a.began:
-		return c.failOnce(a)
+		return c.rollbackOwnTransaction(a)
 	case c.state == upstream.StateOpen && !a.began:
-		return c.commitOnce(id, a)
+		return c.commitOwnTransaction(id, a)
 	case c.state != upstream.StateIdle:
-		// The batch began a transaction of the caller's that goes on; the
+		// The batch has begun a transaction that the caller continues. The
 		// ledger row is part of it.
 		return upstream.Result{State: c.state, DatabaseError: a.failure != nil}, c.finishAnswer(a)
 	}
-	after, err := c.askStatus()
+	after, err := c.queryStatus()
 	if err != nil {
 		return upstream.Result{}, err
 	}
 	return c.endWrite(a, before, after)
 }
 
-// failOnce ends a batch that the database refused: the row goes, and the caller
-// hears of an idle connection.
-func (c *Conn) failOnce(a *answer) (upstream.Result, error) {
+// rollbackOwnTransaction rolls back a batch that the database refused, together
+// with the ledger row. The answer then ends with the idle state.
+func (c *Conn) rollbackOwnTransaction(a *answerReader) (upstream.Result, error) {
 	if err := c.rollback(); err != nil {
 		return upstream.Result{}, err
 	}
-	after, err := c.askStatus()
+	after, err := c.queryStatus()
 	if err != nil {
 		return upstream.Result{}, err
 	}
@@ -262,21 +268,22 @@
 	return c.endWrite(a, nil, after)
 }
 
-// commitOnce stores the answer and commits.
-func (c *Conn) commitOnce(id string, a *answer) (upstream.Result, error) {
+// commitOwnTransaction stores the answer, unless it is longer than maxStoredBytes,
+// and commits.
+func (c *Conn) commitOwnTransaction(id string, a *answerReader) (upstream.Result, error) {
 	a.setFinalState('I')
 	sql := "COMMIT"
-	if !a.overflowed && len(a.held) <= storeBytes {
-		stored := base64.StdEncoding.EncodeToString(a.held)
+	if !a.overflowed && len(a.pending) <= maxStoredBytes {
+		stored := base64.StdEncoding.EncodeToString(a.pending)
 		sql = "UPDATE lovageslip_requests SET answer = '" + stored + "' WHERE id = " + quote(id) + "; COMMIT"
 	}
 	out := appendQuery(appendQuery(appendQuery(nil, statusSQL), sql), statusSQL)
 	if err := c.send(out); err != nil {
-		// Without a byte of COMMIT, the transaction can't commit any more, so
-		// the NotRun that send may report is right.
+		// The transaction can't commit any more if no byte of COMMIT was sent,
+		// so the *fault.NotRun that send returns in that case is right.
 		return upstream.Result{}, err
 	}
-	before, err := c.statusBefore()
+	before, err := c.readStatusBefore()
 	if err != nil {
 		return upstream.Result{}, err
 	}
@@ -284,33 +291,33 @@
 	if err != nil {
 		return upstream.Result{}, err
 	}
-	after, err := c.statusAfter()
+	after, err := c.readStatusAfter()
 	if err != nil {
 		return upstream.Result{}, err
 	}
 	if result.failure != nil {
-		return c.refusedOnce(a, result.failure, after)
+		return c.answerRefusedCommit(a, result.failure, after)
 	}
 	a.committed = true
 	return c.endWrite(a, before, after)
 }
 
-// refusedOnce answers the error of the COMMIT in place of the batch's own
-// answer.
-func (c *Conn) refusedOnce(a *answer, failure *fault.Database, after *upstream.Status) (upstream.Result, error) {
+// answerRefusedCommit answers with the error of the COMMIT instead of the batch's
+// own answer.
+func (c *Conn) answerRefusedCommit(a *answerReader, failure *fault.Database, after *upstream.Status) (upstream.Result, error) {
 	if err := c.rollback(); err != nil {
 		return upstream.Result{}, err
 	}
 	if after == nil {
 		var err error
-		if after, err = c.askStatus(); err != nil {
+		if after, err = c.queryStatus(); err != nil {
 			return upstream.Result{}, err
 		}
 	}
 	a.failure = failure
 	a.committed = false
-	a.ackAt = -1
-	a.held = errorAnswer(failure)
+	a.ackIndex = -1
+	a.pending = errorAnswer(failure)
 	return c.endWrite(a, nil, after)
 }
 
@@ -328,8 +335,8 @@
 }
 
 // setFinalState rewrites the state in the ReadyForQuery that ends the answer.
-func (a *answer) setFinalState(state byte) {
-	if len(a.held) > 0 {
-		a.held[len(a.held)-1] = state
+func (a *answerReader) setFinalState(state byte) {
+	if len(a.pending) > 0 {
+		a.pending[len(a.pending)-1] = state
 	}
 }
--- a/upstream/pgupstream/ledger_test.go
+++ b/upstream/pgupstream/ledger_test.go
@@ -17,9 +17,9 @@
 
 const createV = "CREATE TABLE v (id INTEGER PRIMARY KEY, n TEXT)"
 
-// Guards against a write that runs twice, or not at all, when its link breaks
-// at any byte of the answers and the caller retries on a new connection.
-func TestLostAnswerRunsOnce(t *testing.T) {
+// Guards against a write that runs twice, or not at all, when the connection breaks
+// within its answer and the caller retries on another one.
+func TestRetryAfterLostAnswerRunsOnce(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	direct := dialConn(t, server.Address())
 	mustWrite(t, direct, createV)
@@ -30,13 +30,13 @@
 		link.cutAfter(cut)
 		id := fmt.Sprint("request ", cut)
 		first := write(conn, "INSERT INTO v (n) VALUES ('x') RETURNING n", id)
-		link.heal()
+		link.restore()
 		retry := write(direct, "INSERT INTO v (n) VALUES ('x') RETURNING n", id)
 		assert.NilError(t, retry.err)
 		assert.Assert(t, retry.result.Committed)
 		assert.Equal(t, retry.kinds(), "TDCZ")
 		rows++
-		assert.Equal(t, count(t, direct), rows, "cut after %d bytes", cut)
+		assert.Equal(t, countRows(t, direct), rows, "cut after %d bytes", cut)
 		if retry.result.Replayed {
 			replayed++
 		}
@@ -48,7 +48,8 @@
 	assert.Assert(t, replayed > 1, "%d replays", replayed)
 }
 
-// Guards against duplicates that run at the same time.
+// Guards against a write that runs twice when duplicates of it are sent on several
+// connections at the same time.
 func TestConcurrentDuplicatesRunOnce(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	direct := dialConn(t, server.Address())
@@ -70,12 +71,12 @@
 		}
 	}
 	assert.Equal(t, replayed, duplicates-1)
-	assert.Equal(t, count(t, direct), 1)
+	assert.Equal(t, countRows(t, direct), 1)
 }
 
-// Guards against a refused write whose id can't be used again, or whose answer
-// shows the adapter's own transaction.
-func TestRefusedRequestKeepsNothing(t *testing.T) {
+// Guards against a refused write whose request id can't be used again, or whose
+// answer reports the state of the adapter's own transaction.
+func TestRefusedWriteReleasesRequestID(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	conn := dialConn(t, server.Address())
 	mustWrite(t, conn, createV+"; INSERT INTO v VALUES (1, 'x')")
@@ -87,10 +88,10 @@
 	c = write(conn, "INSERT INTO v VALUES (2, 'y')", "id")
 	assert.NilError(t, c.err)
 	assert.Assert(t, c.result.Committed && !c.result.Replayed)
-	assert.Equal(t, count(t, conn), 2)
+	assert.Equal(t, countRows(t, conn), 2)
 }
 
-// Guards against a resent transaction that runs again.
+// Guards against a committed transaction that runs again when it is resent.
 func TestExplicitTransactionRunsOnce(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	conn := dialConn(t, server.Address())
@@ -110,18 +111,19 @@
 		mustWrite(t, conn, "INSERT INTO v VALUES (1, 'x')")
 		mustWrite(t, conn, "COMMIT")
 	}
-	assert.Equal(t, count(t, conn), 1)
+	assert.Equal(t, countRows(t, conn), 1)
 	for range 2 {
 		c := write(conn, "BEGIN; INSERT INTO v VALUES (2, 'y'); COMMIT", "whole")
 		assert.Assert(t, c.result.Committed)
 	}
-	assert.Equal(t, count(t, conn), 2)
+	assert.Equal(t, countRows(t, conn), 2)
 	c := write(conn, "BEGIN READ ONLY", "reader")
 	assert.NilError(t, c.err)
 	assert.Equal(t, c.result.State, upstream.StateOpen)
 }
 
-// Guards against a long answer that is cut down to what the ledger keeps.
+// Guards against an answer that is truncated because it is longer than what the
+// ledger stores.
 func TestLongAnswerIsNotStored(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	conn := dialConn(t, server.Address())
@@ -134,10 +136,11 @@
 	c = write(conn, insert, "long")
 	var committed *fault.AlreadyCommitted
 	assert.Assert(t, errors.As(c.err, &committed), "%v", c.err)
-	assert.Equal(t, count(t, conn), 1)
+	assert.Equal(t, countRows(t, conn), 1)
 }
 
-// Guards against a fenced primary that accepts the request id.
+// Guards against a fenced primary that commits a transaction with a request id or
+// records a new one.
 func TestFencedPrimaryClaimsNothing(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	conn := dialConn(t, server.Address())
@@ -146,13 +149,13 @@
 	mustWrite(t, conn, "INSERT INTO v VALUES (1, 'x')")
 	_, err := dialConn(t, server.Address()).Fence(t.Context(), 2)
 	assert.NilError(t, err)
-	notRun(t, write(conn, "COMMIT", "").err, fault.ReasonNotPrimary)
-	notRun(t, write(conn, "INSERT INTO v VALUES (1, 'x')", "other").err, fault.ReasonNotPrimary)
-	assert.Equal(t, count(t, conn), 0)
+	assertNotRun(t, write(conn, "COMMIT", "").err, fault.ReasonNotPrimary)
+	assertNotRun(t, write(conn, "INSERT INTO v VALUES (1, 'x')", "other").err, fault.ReasonNotPrimary)
+	assert.Equal(t, countRows(t, conn), 0)
 }
 
-// Guards against a duplicate that waits for the first try's transaction and
-// can't be cancelled.
+// Guards against a duplicate that can't be cancelled while it waits for the
+// transaction of the first try.
 func TestWaitingDuplicateIsCancelled(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	first, second := dialConn(t, server.Address()), dialConn(t, server.Address())
@@ -162,8 +165,8 @@
 	defer cancel()
 	batch := upstream.Batch{Mode: upstream.ModeWrite, Payload: query("INSERT INTO v VALUES (1, 'x')"), RequestID: "id"}
 	_, err := second.Run(ctx, batch, nil, (&collected{}).sink)
-	notRun(t, err, fault.ReasonCancelled)
+	assertNotRun(t, err, fault.ReasonCancelled)
 	assert.Assert(t, !second.Broken())
 	mustWrite(t, first, "COMMIT")
-	assert.Equal(t, count(t, second), 0)
+	assert.Equal(t, countRows(t, second), 0)
 }
--- a/upstream/pgupstream/payload.go
+++ b/upstream/pgupstream/payload.go
@@ -10,33 +10,38 @@
 	"lovageslip/upstream"
 )
 
-// origin says whose message an answer belongs to; 0 for the caller's.
+// origin says where an answer and the message that it answers come from. The zero
+// value means a message of the caller, answered by the server.
 type origin byte
 
 const (
-	// injected messages are answered by the server, but not to the caller.
+	// injected messages are added by the adapter. The server's answers to them
+	// are not passed on to the caller.
 	injected origin = iota + 1
-	// synthesized answers are given to the caller without the server.
+	// synthesized answers are made by the adapter. The caller's message is not
+	// sent to the server.
 	synthesized
 )
 
-// expected is an answer that is still to come, by the message it answers.
-type expected struct {
+// expectedAnswer describes an answer that has not arrived yet. kind is the type of
+// the message that it answers.
+type expectedAnswer struct {
 	kind   byte
 	origin origin
 	// name of the statement that a Parse prepares or a Close closes.
 	name string
 }
 
-// request is a batch made ready for one connection.
+// request is a batch encoded for one connection.
 type request struct {
-	// out holds the messages to send.
-	out   []byte
-	queue []expected
+	// encoded holds the messages to send.
+	encoded []byte
+	// expected lists the answers in the order in which they will arrive.
+	expected []expectedAnswer
 	// keyword is the first keyword of the first statement.
 	keyword string
-	// statements counts the statements as far as it matters: 2 stands for
-	// any number above 1.
+	// statements counts the statements. It is exact for 0 and 1; any higher
+	// value means several.
 	statements int
 }
 
@@ -46,23 +51,24 @@
 	return &fault.NotRun{Reason: fault.ReasonProtocol, Detail: detail}
 }
 
-// newRequest adds the definitions that the connection lacks and drops a Parse
-// of a statement that it has.
+// newRequest encodes batch for a connection that has the prepared statements given.
+// It adds a Parse for each definition that the connection lacks and leaves out each
+// Parse of a statement that it has.
 func newRequest(batch upstream.Batch, prepared map[string]struct{}) (*request, error) {
 	r := &request{}
-	own := parsedNames(batch)
+	parsed := parsedNames(batch)
 	for _, p := range batch.Prepared {
 		_, has := prepared[p.Name]
-		if has || own[p.Name] {
+		if has || parsed[p.Name] {
 			continue
 		}
 		parse := &pgproto3.Parse{Name: p.Name, Query: p.SQL, ParameterOIDs: p.ParameterOIDs}
-		out, err := parse.Encode(r.out)
+		out, err := parse.Encode(r.encoded)
 		if err != nil {
 			return nil, badPayload(err.Error())
 		}
-		r.out = out
-		r.queue = append(r.queue, expected{kind: 'P', origin: injected, name: p.Name})
+		r.encoded = out
+		r.expected = append(r.expected, expectedAnswer{kind: 'P', origin: injected, name: p.Name})
 	}
 	if err := r.addPayload(batch.Payload, prepared); err != nil {
 		return nil, err
@@ -70,7 +76,7 @@
 	return r, nil
 }
 
-// parsedNames lists the statements that the payload prepares itself.
+// parsedNames returns the names of the statements that the payload prepares itself.
 func parsedNames(batch upstream.Batch) map[string]bool {
 	if len(batch.Prepared) == 0 {
 		return nil
@@ -102,38 +108,38 @@
 		}
 		message := payload[:size]
 		payload = payload[size:]
-		e := expected{kind: message[0]}
+		e := expectedAnswer{kind: message[0]}
 		body := message[headerBytes:]
 		switch e.kind {
 		case 'P':
 			e.name = cstring(body)
-			r.noteText(body[min(len(e.name)+1, len(body)):])
+			r.inspectStatement(body[min(len(e.name)+1, len(body)):])
 			_, has := prepared[e.name]
 			if e.name != "" && has && !closed[e.name] {
 				e.origin = synthesized
-				r.queue = append(r.queue, e)
+				r.expected = append(r.expected, e)
 				continue
 			}
 		case 'Q':
-			r.noteText(body)
+			r.inspectStatement(body)
 		case 'C':
 			if len(body) > 0 && body[0] == 'S' {
 				e.name = cstring(body[1:])
-				closed = withName(closed, e.name)
+				closed = addName(closed, e.name)
 			}
 		case 'B', 'D', 'E', 'S', 'H':
 		default:
 			return badPayload("message " + string(rune(e.kind)) + " is not supported")
 		}
-		r.out = append(r.out, message...)
+		r.encoded = append(r.encoded, message...)
 		if e.kind != 'H' {
-			r.queue = append(r.queue, e)
+			r.expected = append(r.expected, e)
 		}
 	}
-	return r.checkEnd()
+	return r.checkTerminated()
 }
 
-func withName(names map[string]bool, name string) map[string]bool {
+func addName(names map[string]bool, name string) map[string]bool {
 	if names == nil {
 		names = map[string]bool{}
 	}
@@ -141,11 +147,11 @@
 	return names
 }
 
-// checkEnd refuses a payload without its end, because its answer would have no
-// end either.
-func (r *request) checkEnd() error {
-	if len(r.queue) > 0 {
-		last := r.queue[len(r.queue)-1].kind
+// checkTerminated refuses a payload that doesn't end with Query or Sync, because
+// its answer would not end with ReadyForQuery.
+func (r *request) checkTerminated() error {
+	if len(r.expected) > 0 {
+		last := r.expected[len(r.expected)-1].kind
 		if last == 'S' || last == 'Q' {
 			return nil
 		}
@@ -153,8 +159,9 @@
 	return badPayload("the batch doesn't end with Query or Sync")
 }
 
-// noteText looks at a statement's text, which ends at a zero byte.
-func (r *request) noteText(text []byte) {
+// inspectStatement updates keyword and statements from a statement's text, which
+// ends at a zero byte.
+func (r *request) inspectStatement(text []byte) {
 	if end := bytes.IndexByte(text, 0); end >= 0 {
 		text = text[:end]
 	}
@@ -167,16 +174,16 @@
 	}
 }
 
-// firstKeyword returns the first word in upper case. It skips white space and
-// comments.
+// firstKeyword returns the first word in upper case. It skips white space,
+// comments, semicolons and opening parentheses.
 func firstKeyword(text []byte) string {
 	for {
 		text = bytes.TrimLeft(text, " \t\r\n\f;(")
 		switch {
 		case bytes.HasPrefix(text, []byte("--")):
-			text = after(text, "\n")
+			text = skipPast(text, "\n")
 		case bytes.HasPrefix(text, []byte("/*")):
-			text = after(text, "*/")
+			text = skipPast(text, "*/")
 		default:
 			end := 0
 			for end < len(text) && isLetter(text[end]) {
@@ -187,7 +194,7 @@
 	}
 }
 
-func after(text []byte, mark string) []byte {
+func skipPast(text []byte, mark string) []byte {
 	if i := bytes.Index(text, []byte(mark)); i >= 0 {
 		return text[i+len(mark):]
 	}
--- a/upstream/pgupstream/pgupstream_test.go
+++ b/upstream/pgupstream/pgupstream_test.go
@@ -43,7 +43,7 @@
 	return out
 }
 
-// collected is what the caller would have received.
+// collected is the answer and the result that the caller would have received.
 type collected struct {
 	raw    []byte
 	chunks int
@@ -94,8 +94,8 @@
 	return c
 }
 
-// count returns the number of rows of table v.
-func count(t *testing.T, conn *Conn) int {
+// countRows returns the number of rows of table v.
+func countRows(t *testing.T, conn *Conn) int {
 	t.Helper()
 	result, err := conn.query("SELECT count(*) FROM v")
 	assert.NilError(t, err)
@@ -105,7 +105,7 @@
 	return n
 }
 
-func notRun(t *testing.T, err error, reason fault.Reason) {
+func assertNotRun(t *testing.T, err error, reason fault.Reason) {
 	t.Helper()
 	var refused *fault.NotRun
 	assert.Assert(t, errors.As(err, &refused), "%v", err)
@@ -122,8 +122,8 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(2*time.Millisecond))
 }
 
-// Guards against injected messages that reach the caller, and against a commit
-// that is acknowledged before it can be confirmed.
+// Guards against answers to injected messages that reach the caller, and against a
+// commit that is acknowledged before it is confirmed.
 func TestReadAndWrite(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	conn := dialConn(t, server.Address())
@@ -149,31 +149,31 @@
 	conn := dialConn(t, server.Address())
 	mustWrite(t, conn, "CREATE TABLE v (id INTEGER PRIMARY KEY)")
 	c := read(conn, "INSERT INTO v VALUES (1)")
-	notRun(t, c.err, fault.ReasonReadOnly)
+	assertNotRun(t, c.err, fault.ReasonReadOnly)
 	assert.Equal(t, len(c.raw), 0)
 	c = read(conn, "SELECT 1; INSERT INTO v VALUES (1)")
-	notRun(t, c.err, fault.ReasonReadOnly)
-	assert.Equal(t, count(t, conn), 0)
+	assertNotRun(t, c.err, fault.ReasonReadOnly)
+	assert.Equal(t, countRows(t, conn), 0)
 	mustWrite(t, conn, "INSERT INTO v VALUES (1)")
-	assert.Equal(t, count(t, conn), 1)
+	assert.Equal(t, countRows(t, conn), 1)
 }
 
-// Guards against a write that is reported as a database error when another
-// server should take it.
+// Guards against a write on a replica that fails with a database error, although it
+// could run on the primary.
 func TestWriteOnReplica(t *testing.T) {
 	primary := startServer(t, standin.Options{})
 	replica := startServer(t, standin.Options{Primary: primary.Address()})
 	mustWrite(t, dialConn(t, primary.Address()), "CREATE TABLE v (id INTEGER PRIMARY KEY)")
 	eventually(t, "replicated", func() bool { return replica.Status().Offset == 1 })
 	conn := dialConn(t, replica.Address())
-	notRun(t, write(conn, "INSERT INTO v VALUES (1)", "").err, fault.ReasonNotPrimary)
-	notRun(t, write(conn, "INSERT INTO v VALUES (1)", "id").err, fault.ReasonNotPrimary)
-	notRun(t, write(conn, "BEGIN; INSERT INTO v VALUES (1)", "").err, fault.ReasonNotPrimary)
+	assertNotRun(t, write(conn, "INSERT INTO v VALUES (1)", "").err, fault.ReasonNotPrimary)
+	assertNotRun(t, write(conn, "INSERT INTO v VALUES (1)", "id").err, fault.ReasonNotPrimary)
+	assertNotRun(t, write(conn, "BEGIN; INSERT INTO v VALUES (1)", "").err, fault.ReasonNotPrimary)
 	assert.Equal(t, read(conn, "SELECT * FROM v").kinds(), "TCZ")
 }
 
-// Guards against an answer that is passed on although its data are too old, and
-// against one whose rest is taken for the next answer.
+// Guards against an answer that is passed on although the check of the server's
+// status failed, and against one whose rest is read as the next answer.
 func TestCheckDiscardsAnswer(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	conn := dialConn(t, server.Address())
@@ -194,7 +194,8 @@
 	}
 }
 
-// Guards against transaction states that are lost between batches.
+// Guards against a transaction's state that is reported wrong after one of its
+// batches.
 func TestTransaction(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	conn, other := dialConn(t, server.Address()), dialConn(t, server.Address())
@@ -203,11 +204,11 @@
 	assert.Equal(t, c.result.State, upstream.StateOpen)
 	assert.Assert(t, !c.result.Committed)
 	mustWrite(t, conn, "INSERT INTO v VALUES (1)")
-	assert.Equal(t, count(t, other), 0)
+	assert.Equal(t, countRows(t, other), 0)
 	c = mustWrite(t, conn, "COMMIT")
 	assert.Assert(t, c.result.Committed)
 	assert.Equal(t, c.result.After.Offset, upstream.Offset(2))
-	assert.Equal(t, count(t, other), 1)
+	assert.Equal(t, countRows(t, other), 1)
 	mustWrite(t, conn, "BEGIN")
 	c = write(conn, "INSERT INTO v VALUES (1)", "")
 	assert.Equal(t, c.result.State, upstream.StateFailed)
--- a/upstream/pgupstream/prepared_test.go
+++ b/upstream/pgupstream/prepared_test.go
@@ -23,8 +23,8 @@
 	)
 }
 
-// Guards against statements that are missing on another connection, prepared
-// twice, or whose injected answers reach the caller.
+// Guards against prepared statements that are missing on another connection or
+// prepared twice, and against answers to injected messages that reach the caller.
 func TestPreparedOnTwoConnections(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	first, second := dialConn(t, server.Address()), dialConn(t, server.Address())
@@ -51,7 +51,8 @@
 	}
 }
 
-// Guards against a definition that fails and is then taken for prepared.
+// Guards against a statement that is taken for prepared although its definition
+// failed.
 func TestBadDefinition(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	conn := dialConn(t, server.Address())
@@ -65,7 +66,8 @@
 	}
 }
 
-// Guards against a pipeline whose answers are mixed up, or that commits in part.
+// Guards against pipelined statements whose answers are mixed up, or of which only
+// some commit.
 func TestPipelinedBatch(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	conn := dialConn(t, server.Address())
@@ -100,9 +102,9 @@
 		assert.Equal(t, c.kinds(), "12nC12nCZ")
 		assert.Equal(t, c.result.Replayed, try == 1)
 	}
-	assert.Equal(t, count(t, conn), 3)
+	assert.Equal(t, countRows(t, conn), 3)
 	read := upstream.Batch{Mode: upstream.ModeRead, Payload: pipeline("SELECT n FROM v", "DELETE FROM v")}
 	c = runBatch(conn, read, nil)
-	notRun(t, c.err, fault.ReasonReadOnly)
-	assert.Equal(t, count(t, conn), 3)
+	assertNotRun(t, c.err, fault.ReasonReadOnly)
+	assert.Equal(t, countRows(t, conn), 3)
 }
--- a/upstream/pgupstream/reader.go
+++ b/upstream/pgupstream/reader.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	readBytes = 16 << 10
-	// maxInspected bounds the messages that are decoded; others may be of
-	// any size, because they are passed through in parts.
-	maxInspected = 1 << 20
-	headerBytes  = 5
+	readBufferBytes = 16 << 10
+	// maxDecodedBytes bounds the messages that are decoded. Others may have
+	// any length, because they are passed on in parts.
+	maxDecodedBytes = 1 << 20
+	headerBytes     = 5
 )
 
 // reader reads backend messages from a socket through one buffer.
@@ -24,7 +24,7 @@
 }
 
 func newReader(source io.Reader) reader {
-	return reader{source: source, buffer: make([]byte, readBytes)}
+	return reader{source: source, buffer: make([]byte, readBufferBytes)}
 }
 
 func (r *reader) buffered() int { return r.end - r.start }
@@ -55,7 +55,7 @@
 	}
 	length := int(int32(binary.BigEndian.Uint32(r.buffer[r.start+1:])))
 	if length < 4 {
-		return 0, 0, &surprise{detail: "invalid message length"}
+		return 0, 0, &protocolError{detail: "invalid message length"}
 	}
 	return r.buffer[r.start], length - 4, nil
 }
@@ -63,8 +63,8 @@
 // peek returns the next message as a whole, with its header, without consuming
 // it. The slice is valid until the next call.
 func (r *reader) peek(body int) ([]byte, error) {
-	if body > maxInspected {
-		return nil, &surprise{detail: "message too long"}
+	if body > maxDecodedBytes {
+		return nil, &protocolError{detail: "message too long"}
 	}
 	if err := r.fill(headerBytes + body); err != nil {
 		return nil, err
@@ -97,15 +97,15 @@
 	return r.buffer[r.start : r.start+n], nil
 }
 
-// surprise reports an answer that breaks the protocol, or that this adapter
-// doesn't handle. The connection is not used again.
-type surprise struct {
+// protocolError reports an answer that violates the protocol or that this adapter
+// doesn't support. The connection is not used again.
+type protocolError struct {
 	detail string
 }
 
-func (e *surprise) Error() string { return "protocol: " + e.detail }
+func (e *protocolError) Error() string { return "protocol: " + e.detail }
 
-// parseError decodes the fields of an ErrorResponse that matter here.
+// parseError decodes the code, the message and the severity of an ErrorResponse.
 func parseError(body []byte) *fault.Database {
 	failure := &fault.Database{}
 	for len(body) > 1 && body[0] != 0 {
--- a/upstream/pgupstream/replaced_test.go
+++ b/upstream/pgupstream/replaced_test.go
@@ -13,8 +13,8 @@
 	"lovageslip/upstream"
 )
 
-// scriptedServer answers status queries from a list and everything else with
-// the tag of an insert.
+// scriptedServer answers status queries from the list statuses, and every other
+// query as an INSERT of one row.
 func scriptedServer(t *testing.T, statuses ...string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,9 +62,9 @@
 	return row
 }
 
-// Guards against a commit that was discarded when its server was replaced, and
-// is then confirmed at a position of the new primary's log.
-func TestCommitOfReplacedServerIsUnknown(t *testing.T) {
+// Guards against confirming a commit that was discarded because the server was
+// replaced as primary: the status after it may belong to the new primary's log.
+func TestCommitOnReplacedPrimaryIsUnknown(t *testing.T) {
 	const before = "primary 1 9 1 1:0 0 0"
 	afterwards := map[string]bool{
 		"primary 1 10 1 1:0 0 0":         true,
--- a/upstream/pgupstream/run.go
+++ b/upstream/pgupstream/run.go
@@ -13,7 +13,7 @@
 )
 
 // Run executes a batch; see upstream.Conn. When ctx ends, the batch is
-// cancelled at the server, and Run returns within abortDrain.
+// cancelled at the server, and Run returns within cancelAnswerTimeout.
 //
 // With a request id that a committed batch has used, but whose answer isn't
 // stored, Run returns *fault.AlreadyCommitted together with a Result whose After
@@ -26,22 +26,22 @@
 	if err := ctx.Err(); err != nil {
 		return upstream.Result{}, &fault.NotRun{Reason: fault.ReasonCancelled, Detail: err.Error()}
 	}
-	c.gate <- struct{}{}
-	c.sequence.Add(1)
+	c.cancelLock <- struct{}{}
+	c.batchSequence.Add(1)
 	if err := c.checkUsable(); err != nil {
-		<-c.gate
+		<-c.cancelLock
 		return upstream.Result{}, err
 	}
-	endWatch := c.abortOn(ctx)
+	stopWatching := c.cancelWhenDone(ctx)
 	result, err := c.run(batch, r, check, sink)
-	if c.running {
-		c.leaveBatch()
+	if c.cancellable {
+		c.disallowCancel()
 	}
-	if absorbErr := c.absorbCancel(); absorbErr != nil && err == nil && !result.Committed {
-		err = absorbErr
+	if consumeErr := c.consumeLateCancel(); consumeErr != nil && err == nil && !result.Committed {
+		err = consumeErr
 	}
-	<-c.gate
-	endWatch()
+	<-c.cancelLock
+	stopWatching()
 	return result, err
 }
 
@@ -50,36 +50,39 @@
 	case batch.Mode == upstream.ModeRead:
 		return c.runRead(r, check, sink)
 	case batch.RequestID != "" && c.state == upstream.StateIdle:
-		return c.runOnce(batch.RequestID, r, sink)
+		return c.runIdempotent(batch.RequestID, r, sink)
 	}
 	return c.runWrite(r, sink)
 }
 
-// maxKeptBytes bounds the buffers that a connection keeps for its next batch.
-const maxKeptBytes = 64 << 10
+// maxReusedBufferBytes bounds the buffers that a connection keeps for its next
+// batch.
+const maxReusedBufferBytes = 64 << 10
 
-// sendBuffer sends out and keeps it for the next batch.
+// sendBuffer sends out and keeps the buffer for the next batch, unless it is too
+// large.
 func (c *Conn) sendBuffer(out []byte) error {
-	if cap(out) <= maxKeptBytes {
-		c.out = out
+	if cap(out) <= maxReusedBufferBytes {
+		c.requestBuffer = out
 	}
 	return c.send(out)
 }
 
-func (c *Conn) newAnswer(r *request, sink upstream.Sink, hold holding) *answer {
-	return &answer{conn: c, sink: sink, hold: hold, queue: r.queue, held: c.held[:0]}
+func (c *Conn) newAnswerReader(r *request, sink upstream.Sink, buffering bufferPolicy) *answerReader {
+	return &answerReader{conn: c, sink: sink, buffering: buffering, expected: r.expected, pending: c.answerBuffer[:0]}
 }
 
-// keepBuffer keeps the answer's buffer for the next batch.
-func (c *Conn) keepBuffer(a *answer) {
-	if cap(a.held) <= maxKeptBytes {
-		c.held = a.held
+// keepAnswerBuffer keeps the answer's buffer for the next batch, unless it is too
+// large.
+func (c *Conn) keepAnswerBuffer(a *answerReader) {
+	if cap(a.pending) <= maxReusedBufferBytes {
+		c.answerBuffer = a.pending
 	}
 }
 
-// modeChange returns the statement that sets the connection's mode, or "" if it
-// is set. The mode of an open transaction doesn't change.
-func (c *Conn) modeChange(readOnly bool) string {
+// modeChangeSQL returns the statement that sets the connection's mode, or "" if the
+// mode is set already. The mode of an open transaction isn't changed.
+func (c *Conn) modeChangeSQL(readOnly bool) string {
 	if c.state != upstream.StateIdle || c.readOnly == readOnly {
 		return ""
 	}
@@ -89,8 +92,9 @@
 	return "SET " + readOnlySetting + " = off"
 }
 
-// readModeChange reads the answer to modeChange. The batch behind it runs in
-// the wrong mode if it failed, so nothing of the batch may be believed then.
+// readModeChange reads the answer to the statement of modeChangeSQL. If the
+// statement failed, the batch behind it runs in the wrong mode, so the connection
+// is broken and the batch's answer is not used.
 func (c *Conn) readModeChange(sql string, readOnly bool) error {
 	if sql == "" {
 		return nil
@@ -106,54 +110,54 @@
 	return nil
 }
 
-// runRead sends [mode change] [status query] [batch] in one go.
+// runRead sends [mode change] [status query] [batch] in one write.
 func (c *Conn) runRead(r *request, check upstream.Check, sink upstream.Sink) (upstream.Result, error) {
 	wasIdle := c.state == upstream.StateIdle
 	if c.state == upstream.StateFailed {
 		// Nothing can be read in a failed transaction, not even the status.
 		check = nil
 	}
-	change := c.modeChange(true)
-	out := c.out[:0]
+	change := c.modeChangeSQL(true)
+	out := c.requestBuffer[:0]
 	if change != "" {
 		out = appendQuery(out, change)
 	}
 	out = appendQuery(out, statusSQL)
-	out = append(out, r.out...)
+	out = append(out, r.encoded...)
 	if err := c.sendBuffer(out); err != nil {
 		return upstream.Result{}, err
 	}
 	if err := c.readModeChange(change, true); err != nil {
 		return upstream.Result{}, err
 	}
-	c.enterBatch()
-	checkErr, err := c.readCheck(check)
+	c.allowCancel()
+	checkErr, err := c.readAndCheckStatus(check)
 	if err != nil {
-		c.leaveBatch()
+		c.disallowCancel()
 		return upstream.Result{}, err
 	}
-	a := c.newAnswer(r, sink, holdHead)
+	a := c.newAnswerReader(r, sink, bufferHead)
 	a.discard = checkErr != nil
 	if r.statements > 1 {
-		a.hold = holdSeveral
+		a.buffering = bufferStatements
 	}
 	err = a.read()
-	c.leaveBatch()
+	c.disallowCancel()
 	if err != nil {
 		return upstream.Result{}, err
 	}
-	defer c.keepBuffer(a)
+	defer c.keepAnswerBuffer(a)
 	return c.endRead(a, checkErr, wasIdle)
 }
 
-// readCheck reads the status that precedes a read and lets check judge it.
-func (c *Conn) readCheck(check upstream.Check) (checkErr, err error) {
+// readAndCheckStatus reads the status that precedes a read and passes it to check.
+func (c *Conn) readAndCheckStatus(check upstream.Check) (checkErr, err error) {
 	result, err := c.readRows()
 	if err != nil {
 		return nil, err
 	}
 	if result.failure != nil {
-		return statusRefused(result.failure, check), nil
+		return statusQueryError(result.failure, check), nil
 	}
 	status, err := c.statusOf(result)
 	if err != nil || check == nil {
@@ -162,9 +166,9 @@
 	return check(status), nil
 }
 
-// statusRefused judges a read whose status query failed: without a check the
-// status doesn't matter.
-func statusRefused(failure *fault.Database, check upstream.Check) error {
+// statusQueryError returns the error for a read whose status query failed. It is
+// nil without a check, because the status isn't needed then.
+func statusQueryError(failure *fault.Database, check upstream.Check) error {
 	if check == nil {
 		return nil
 	}
@@ -174,11 +178,11 @@
 	return failure
 }
 
-func (c *Conn) endRead(a *answer, checkErr error, wasIdle bool) (upstream.Result, error) {
+func (c *Conn) endRead(a *answerReader, checkErr error, wasIdle bool) (upstream.Result, error) {
 	if checkErr != nil {
 		return upstream.Result{}, c.rollbackAfter(checkErr)
 	}
-	if a.code() == codeReadOnly && !a.passed && wasIdle {
+	if a.code() == codeReadOnly && !a.delivered && wasIdle {
 		refused := &fault.NotRun{Reason: fault.ReasonReadOnly, Detail: a.failure.Message}
 		return upstream.Result{}, c.rollbackAfter(refused)
 	}
@@ -186,8 +190,7 @@
 	return result, c.finishAnswer(a)
 }
 
-// rollbackAfter cleans the connection and returns the error that made it
-// necessary.
+// rollbackAfter rolls back an open transaction after cause, and returns cause.
 func (c *Conn) rollbackAfter(cause error) error {
 	if err := c.rollback(); err != nil {
 		c.dialer.log.Debug("rollback failed", "address", c.address, "error", err)
@@ -195,27 +198,27 @@
 	return cause
 }
 
-// finishAnswer passes on the rest. A caller that takes no more of its answer
-// leaves the connection clean, because the answer has been read to its end.
-func (c *Conn) finishAnswer(a *answer) error {
-	if err := a.finish(); err != nil {
+// finishAnswer passes on the rest of the answer. The connection stays usable if the
+// sink fails, because the answer has been read to its end.
+func (c *Conn) finishAnswer(a *answerReader) error {
+	if err := a.deliverRest(); err != nil {
 		return c.rollbackAfter(err)
 	}
 	return nil
 }
 
-// runWrite sends [mode change] [status query] [batch] [status query] in one go.
-// Only both statuses together say which log a commit belongs to: between the
-// commit and the second query the server may have been replaced and have
+// runWrite sends [mode change] [status query] [batch] [status query] in one write.
+// Only both statuses together show which log a commit belongs to: between the
+// commit and the second query the server may have been replaced as primary and have
 // discarded the commit.
 func (c *Conn) runWrite(r *request, sink upstream.Sink) (upstream.Result, error) {
-	change := c.modeChange(false)
-	out := c.out[:0]
+	change := c.modeChangeSQL(false)
+	out := c.requestBuffer[:0]
 	if change != "" {
 		out = appendQuery(out, change)
 	}
 	out = appendQuery(out, statusSQL)
-	out = append(out, r.out...)
+	out = append(out, r.encoded...)
 	out = appendQuery(out, statusSQL)
 	if err := c.sendBuffer(out); err != nil {
 		return upstream.Result{}, err
@@ -223,38 +226,38 @@
 	if err := c.readModeChange(change, false); err != nil {
 		return upstream.Result{}, err
 	}
-	return c.readWrite(c.newAnswer(r, sink, holdFromAck))
+	return c.readWriteAnswer(c.newAnswerReader(r, sink, bufferFromAck))
 }
 
 // readStatusAndBatch reads the answers to [status query] [batch]. The batch may
 // be cancelled while its answer is awaited.
-func (c *Conn) readStatusAndBatch(a *answer) (*upstream.Status, error) {
-	c.enterBatch()
-	defer c.leaveBatch()
-	before, err := c.statusBefore()
+func (c *Conn) readStatusAndBatch(a *answerReader) (*upstream.Status, error) {
+	c.allowCancel()
+	defer c.disallowCancel()
+	before, err := c.readStatusBefore()
 	if err != nil {
 		return nil, err
 	}
 	return before, a.read()
 }
 
-// readWrite reads the answers to [status query] [batch] [status query].
-func (c *Conn) readWrite(a *answer) (upstream.Result, error) {
+// readWriteAnswer reads the answers to [status query] [batch] [status query].
+func (c *Conn) readWriteAnswer(a *answerReader) (upstream.Result, error) {
 	before, err := c.readStatusAndBatch(a)
 	if err != nil {
 		return upstream.Result{}, err
 	}
-	defer c.keepBuffer(a)
-	after, err := c.statusAfter()
+	defer c.keepAnswerBuffer(a)
+	after, err := c.readStatusAfter()
 	if err != nil {
 		return upstream.Result{}, err
 	}
 	return c.endWrite(a, before, after)
 }
 
-// statusBefore reads the answer to a status query that precedes a write; nil if
-// the server refused it, as it does in a failed transaction.
-func (c *Conn) statusBefore() (*upstream.Status, error) {
+// readStatusBefore reads the answer to a status query that precedes a write. It is
+// nil if the server refused the query, as it does in a failed transaction.
+func (c *Conn) readStatusBefore() (*upstream.Status, error) {
 	result, err := c.readRows()
 	if err != nil || result.failure != nil {
 		return nil, err
@@ -263,19 +266,20 @@
 	return &status, err
 }
 
-// statusAfter reads the answer to a status query that follows a write; nil if
-// the server doesn't give it inside a failed transaction. A cancel request that
-// came late may have hit the query, which is then repeated.
-func (c *Conn) statusAfter() (*upstream.Status, error) {
-	status, err := c.statusBefore()
+// readStatusAfter reads the answer to a status query that follows a write. It is
+// nil if the server refused the query inside a failed transaction. A late cancel
+// request may have hit the query, which is then repeated.
+func (c *Conn) readStatusAfter() (*upstream.Status, error) {
+	status, err := c.readStatusBefore()
 	if err != nil || status != nil || c.state != upstream.StateIdle {
 		return status, err
 	}
-	return c.askStatus()
+	return c.queryStatus()
 }
 
-// askStatus asks for the status on its own; nil as for statusAfter.
-func (c *Conn) askStatus() (*upstream.Status, error) {
+// queryStatus sends a status query on its own and reads the answer, which is nil as
+// for readStatusAfter.
+func (c *Conn) queryStatus() (*upstream.Status, error) {
 	result, err := c.query(statusSQL)
 	if err != nil {
 		return nil, err
@@ -290,28 +294,29 @@
 	return &status, err
 }
 
-// sameReign reports whether the server led one term from the first status to
-// the second. Terms never return, so nothing was discarded in between.
-func sameReign(before, after *upstream.Status) bool {
+// stayedPrimary reports whether the server was the primary of the same term in both
+// statuses. Terms are never used again, so nothing was discarded in between.
+func stayedPrimary(before, after *upstream.Status) bool {
 	return before != nil && before.Role == upstream.RolePrimary &&
 		after.Role == upstream.RolePrimary && before.Term == after.Term
 }
 
-// unconfirmable reports a commit that can't be given a position.
-func (c *Conn) unconfirmable() error {
+// unconfirmedCommit returns the error for a commit whose position is unknown,
+// because the server may have discarded it.
+func (c *Conn) unconfirmedCommit() error {
 	return &fault.OutcomeUnknown{
 		Reason: fault.ReasonUnconfirmedPosition,
 		Detail: c.address + ": the server was replaced while the batch ran",
 	}
 }
 
-// leads reports whether the server may commit writes.
-func leads(s *upstream.Status) bool {
+// acceptsWrites reports whether the server may commit writes.
+func acceptsWrites(s *upstream.Status) bool {
 	return s.Role == upstream.RolePrimary && s.Fenced <= s.Term
 }
 
-func (c *Conn) endWrite(a *answer, before, after *upstream.Status) (upstream.Result, error) {
-	if a.code() == codeReadOnly && !a.passed && after != nil && !leads(after) {
+func (c *Conn) endWrite(a *answerReader, before, after *upstream.Status) (upstream.Result, error) {
+	if a.code() == codeReadOnly && !a.delivered && after != nil && !acceptsWrites(after) {
 		refused := &fault.NotRun{Reason: fault.ReasonNotPrimary, Detail: a.failure.Message}
 		return upstream.Result{}, c.rollbackAfter(refused)
 	}
@@ -323,18 +328,18 @@
 	if !a.mayHaveCommitted() {
 		return result, c.finishAnswer(a)
 	}
-	if !sameReign(before, after) {
-		return upstream.Result{}, c.unconfirmable()
+	if !stayedPrimary(before, after) {
+		return upstream.Result{}, c.unconfirmedCommit()
 	}
 	result.Committed = true
 	var err error
-	result.Tail, err = a.tail()
+	result.Tail, err = a.deliverBeforeAck()
 	return result, err
 }
 
 // mayHaveCommitted reports whether a batch that left no transaction open may
 // have committed a write.
-func (a *answer) mayHaveCommitted() bool {
+func (a *answerReader) mayHaveCommitted() bool {
 	if a.committed {
 		return true
 	}
--- a/upstream/pgupstream/secure.go
+++ b/upstream/pgupstream/secure.go
@@ -8,9 +8,9 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// secure negotiates TLS on a new socket, if it is configured, and verifies the
-// server's certificate. It never goes on in plaintext.
-func (d *Dialer) secure(socket net.Conn, address string) (net.Conn, error) {
+// negotiateTLS starts TLS on a new socket, if it is configured, and verifies the
+// server's certificate. It never falls back to plaintext.
+func (d *Dialer) negotiateTLS(socket net.Conn, address string) (net.Conn, error) {
 	if d.options.TLS == nil {
 		return socket, nil
 	}
@@ -18,8 +18,8 @@
 	if err == nil {
 		_, err = socket.Write(raw)
 	}
-	// Only the answer is read: what a server sends behind it belongs to the
-	// handshake.
+	// Only one byte is read here: what the server sends after it belongs to
+	// the TLS handshake.
 	var answer [1]byte
 	if err == nil {
 		_, err = io.ReadFull(socket, answer[:])
@@ -38,7 +38,8 @@
 	return secured, nil
 }
 
-// tlsConfig expects the certificate of the address, unless another name is set.
+// tlsConfig returns the configuration for a server. Its certificate must name the
+// host of address, unless the options set another server name.
 func (d *Dialer) tlsConfig(address string) *tls.Config {
 	config := d.options.TLS.Clone()
 	if config.ServerName != "" {
--- a/upstream/pgupstream/secure_test.go
+++ b/upstream/pgupstream/secure_test.go
@@ -68,21 +68,22 @@
 	assert.Assert(t, time.Since(begun) < 30*time.Second)
 
 	server.Kill()
-	eventually(t, "connection closed", func() bool { return !socketUsable(conn.raw, true) })
-	notRun(t, write(conn, "INSERT INTO v VALUES (2)", "").err, fault.ReasonUpstreamUnavailable)
+	eventually(t, "connection closed", func() bool { return !socketUsable(conn.descriptor, true) })
+	assertNotRun(t, write(conn, "INSERT INTO v VALUES (2)", "").err, fault.ReasonUpstreamUnavailable)
 }
 
-// Guards against a server that is believed without a certificate of the
+// Guards against accepting a server whose certificate was issued by another
 // authority.
 func TestServerOfAnotherAuthorityIsRefused(t *testing.T) {
 	server := startServer(t, standin.Options{TLS: serverTLS(t, testcert.NewAuthority(t, "impostor"))})
 	options := Options{TLS: clientTLS(t, testcert.NewAuthority(t, "upstreams"))}
 	_, err := NewDialer(options).Dial(t.Context(), server.Address(), "db")
-	notRun(t, err, fault.ReasonUpstreamUnavailable)
+	assertNotRun(t, err, fault.ReasonUpstreamUnavailable)
 	assert.ErrorContains(t, err, "certificate")
 }
 
-// fakeServer answers each connection by script and records what it received.
+// fakeServer listens on loopback, runs script on each connection and returns its
+// address.
 func fakeServer(t *testing.T, script func(net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -101,8 +102,8 @@
 	return listener.Addr().String()
 }
 
-// Guards against plaintext with a server, or a man in the middle, that
-// declines TLS.
+// Guards against continuing in plaintext after a server, or a man in the middle,
+// has declined TLS.
 func TestDeclinedTLSIsNotFollowedByPlaintext(t *testing.T) {
 	received := make(chan []byte, 1)
 	address := fakeServer(t, func(conn net.Conn) {
@@ -114,12 +115,12 @@
 	})
 	options := Options{TLS: clientTLS(t, testcert.NewAuthority(t, "upstreams")), Password: testPassword}
 	_, err := NewDialer(options).Dial(t.Context(), address, "db")
-	notRun(t, err, fault.ReasonUpstreamUnavailable)
+	assertNotRun(t, err, fault.ReasonUpstreamUnavailable)
 	assert.Equal(t, len(<-received), 0)
 }
 
-// Guards against a password in errors, and against endless retries of a login
-// whose failure looks like a broken link.
+// Guards against errors that contain the password, and against endless retries of a
+// failed login that looks like a connection failure.
 func TestWrongPasswordOfUpstream(t *testing.T) {
 	server := startServer(t, standin.Options{Passwords: map[string]string{"proxy": testPassword}})
 	for name, options := range map[string]Options{
@@ -128,16 +129,16 @@
 		"none":    {User: "proxy"},
 	} {
 		_, err := NewDialer(options).Dial(t.Context(), server.Address(), "db")
-		notRun(t, err, fault.ReasonUpstreamUnavailable)
+		assertNotRun(t, err, fault.ReasonUpstreamUnavailable)
 		assert.ErrorContains(t, err, "password", name)
 		assert.Assert(t, !strings.Contains(err.Error(), testPassword), "%v", err)
 	}
 	assert.Equal(t, server.Sessions(), 0)
 }
 
-// Guards against a server that learns the password, or that is believed
-// although it could not prove that it knows the password.
-func TestServerThatDoesNotFollowSCRAM(t *testing.T) {
+// Guards against sending the password to a server, and against accepting a server
+// that has not proved that it knows the password.
+func TestServerViolatingSCRAMIsRefused(t *testing.T) {
 	ok := &pgproto3.AuthenticationOk{}
 	begin := &pgproto3.AuthenticationSASL{AuthMechanisms: []string{"SCRAM-SHA-256"}}
 	cases := map[string][]pgproto3.BackendMessage{
@@ -163,13 +164,14 @@
 				received <- string(all)
 			})
 			_, err := NewDialer(Options{Password: testPassword}).Dial(t.Context(), address, "db")
-			notRun(t, err, fault.ReasonUpstreamUnavailable)
+			assertNotRun(t, err, fault.ReasonUpstreamUnavailable)
 			assert.Assert(t, !strings.Contains(<-received, testPassword))
 		})
 	}
 }
 
-// Guards against a stand-in that would let tests pass in plaintext.
+// Guards against a stand-in with TLS that accepts plaintext, so that tests would
+// pass without encryption.
 func TestStandinWithTLSRefusesPlaintext(t *testing.T) {
 	server := startServer(t, standin.Options{TLS: serverTLS(t, testcert.NewAuthority(t, "upstreams"))})
 	_, err := NewDialer(Options{}).Dial(t.Context(), server.Address(), "db")
@@ -184,8 +186,8 @@
 	})
 }
 
-// Guards against a batch that is sent behind an encrypted goodbye, and whose
-// outcome is then unknown without need.
+// Guards against a batch that is sent although the server has already sent an
+// encrypted close. Its outcome would be unknown, although it can't have run.
 func TestWaitingBytesOnEncryptedConnection(t *testing.T) {
 	address := fakeServer(t, func(conn net.Conn) {
 		_, _ = conn.Write([]byte{0x17})
--- a/upstream/pgupstream/socket.go
+++ b/upstream/pgupstream/socket.go
@@ -18,10 +18,10 @@
 	return raw
 }
 
-// socketUsable reports whether the server has neither closed the connection
-// nor said goodbye on it. A batch that is not sent on a dead connection has
-// certainly not run. Bytes that wait on an encrypted connection may be a goodbye,
-// so that it counts as closed.
+// socketUsable reports whether the server has neither closed the connection nor
+// sent an ErrorResponse, as it does before it closes one. If the batch is not sent
+// on a closed connection, it has certainly not run. Unread bytes on an encrypted
+// connection can't be told from such an error, so that it counts as closed.
 func socketUsable(raw syscall.RawConn, encrypted bool) bool {
 	if raw == nil {
 		return true
--- a/upstream/pgupstream/status.go
+++ b/upstream/pgupstream/status.go
@@ -10,12 +10,12 @@
 
 const statusColumns = 7
 
-// parseStatus reads the row of a status function; see docs/design.md section 6
-// for its columns.
+// parseStatus decodes the row that the lovageslip functions return; see
+// docs/design.md section 6 for its columns.
 func parseStatus(row [][]byte) (upstream.Status, error) {
 	var status upstream.Status
 	if len(row) != statusColumns {
-		return status, &surprise{detail: "status with a wrong number of columns"}
+		return status, &protocolError{detail: "status with a wrong number of columns"}
 	}
 	if string(row[0]) == upstream.RolePrimary.String() {
 		status.Role = upstream.RolePrimary
@@ -35,7 +35,7 @@
 }
 
 func (p *statusParser) fail(text string) {
-	p.err = &surprise{detail: "status field " + strconv.Quote(text)}
+	p.err = &protocolError{detail: "status field " + strconv.Quote(text)}
 }
 
 func (p *statusParser) number(field []byte) uint64 {
@@ -46,7 +46,7 @@
 	return n
 }
 
-// millis reads milliseconds, with or without a fraction.
+// millis parses milliseconds, with or without a fraction.
 func (p *statusParser) millis(field []byte) time.Duration {
 	ms, err := strconv.ParseFloat(string(field), 64)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// history reads term:start,term:start.
+// history parses a list of the form term:start,term:start.
 func (p *statusParser) history(text string) upstream.History {
 	history := make(upstream.History, 0, strings.Count(text, ",")+1)
 	for text != "" {
--- a/upstream/pgupstream/toxic_test.go
+++ b/upstream/pgupstream/toxic_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// link is a network path to a server that tests can disturb.
+// link is a network path to a server, through a toxiproxy that adds failures.
 type link struct {
 	t     *testing.T
 	proxy *toxiproxy.Proxy
@@ -29,19 +29,19 @@
 
 func (l *link) address() string { return l.proxy.Listen }
 
-// cutAfter closes the link once it has carried that many bytes of answers.
+// cutAfter closes each connection once it has carried that many bytes of answers.
 func (l *link) cutAfter(bytes int) {
 	l.t.Helper()
-	l.add(fmt.Sprintf(`{"name":"cut","type":"limit_data","attributes":{"bytes":%d}}`, bytes))
+	l.addToxic(fmt.Sprintf(`{"name":"cut","type":"limit_data","attributes":{"bytes":%d}}`, bytes))
 }
 
-func (l *link) add(toxic string) {
+func (l *link) addToxic(toxic string) {
 	l.t.Helper()
 	_, err := l.proxy.Toxics.AddToxicJson(strings.NewReader(toxic))
 	assert.NilError(l.t, err)
 }
 
-func (l *link) heal() {
+func (l *link) restore() {
 	l.t.Helper()
 	assert.NilError(l.t, l.proxy.Toxics.RemoveToxic(context.Background(), "cut"))
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,6 +1,7 @@
-// Package upstream is the port towards database servers: what the decision
-// code knows of a server and what it can ask of one. Adapters implement Dialer
-// and Conn for a wire protocol.
+// Package upstream defines the interface to database servers: the status that a
+// server reports and the operations of a connection to it. Owners, pools and the
+// failover of primaries use it. Adapters such as pgupstream implement Dialer and
+// Conn for a wire protocol.
 package upstream
 
 import (
@@ -8,14 +9,15 @@
 	"time"
 )
 
-// Term numbers the successive primaries of a group.
+// Term is the number of a primary's period in a group. It grows with each change
+// of primary.
 type Term uint64
 
-// Offset is a place in the log of one term, in log entries.
+// Offset is an index into the log of one term, in log entries.
 type Offset uint64
 
-// Position is a place in the log history of a group. The zero value precedes
-// every position.
+// Position identifies a point in the log history of a group. The zero value
+// precedes every position.
 type Position struct {
 	Term   Term
 	Offset Offset
@@ -30,7 +32,7 @@
 	return p.Offset < q.Offset
 }
 
-// TermStart says that a term's entries begin after Start.
+// TermStart records that the entries of Term begin after offset Start.
 type TermStart struct {
 	Term  Term
 	Start Offset
@@ -40,7 +42,7 @@
 // never decreases.
 type History []TermStart
 
-// Role is what a server believes itself to be.
+// Role is the replication role that a server reports for itself.
 type Role int
 
 // Roles of a server.
@@ -56,15 +58,15 @@
 	return "replica"
 }
 
-// Status is a server's own report at one moment.
+// Status is what a server reports about itself at one moment.
 type Status struct {
 	Role Role
 	// Term is the term that the server follows or leads.
 	Term Term
-	// Offset is the last entry that the server has applied and kept.
+	// Offset is the last entry that the server has applied and not discarded.
 	Offset Offset
-	// Fenced is the highest term that the server has promised to; it accepts
-	// nothing from lower terms.
+	// Fenced is the highest term that the server has promised to accept. It
+	// refuses everything from lower terms.
 	Fenced  Term
 	History History
 	// DataAge bounds how old the server's data are, by its own monotonic
@@ -109,7 +111,8 @@
 	ModeWrite
 )
 
-// TransactionState is the state that the server reports after a batch.
+// TransactionState is the transaction state that the server reports after a
+// batch.
 type TransactionState int
 
 // Transaction states.
@@ -119,26 +122,28 @@
 	StateFailed
 )
 
-// Prepared is a prepared statement under its global name, which is derived
-// from its definition, so that any connection can prepare it on demand.
+// Prepared is a prepared statement under its global name, which is derived from
+// its definition. Any connection can prepare it under that name when it is needed.
 type Prepared struct {
 	Name          string
 	SQL           string
 	ParameterOIDs []uint32
 }
 
-// Batch is one round of protocol messages, opaque to the decision code.
+// Batch is one request: protocol messages that the server answers as a unit. Only
+// adapters interpret Payload.
 type Batch struct {
 	Mode     Mode
 	Payload  []byte
 	Prepared []Prepared
 	// RequestID makes a write idempotent; empty for none. At most 128 bytes.
 	RequestID string
-	// Waited and WaitRemaining are the caller's time spent and time left
-	// until the batch must start.
+	// Waited is how long the caller has waited already, WaitRemaining how
+	// long it may still wait until the batch starts.
 	Waited        time.Duration
 	WaitRemaining time.Duration
-	// Shape is a hash of the statement texts, to learn service times by.
+	// Shape is a hash of the statement texts. Service times are learnt for
+	// each shape.
 	Shape uint64
 }
 
@@ -146,27 +151,27 @@
 type Result struct {
 	State TransactionState
 	// After is the server's status after a write that left no transaction
-	// open; its position bounds the commit from above.
+	// open. Its position is at or after that of the commit.
 	After Status
 	// Committed is true if After is set and the batch may have committed a write.
 	Committed bool
-	// Tail holds the end of the answer of a committing write, from its first
+	// Tail is the end of the answer to a committing write, from the first
 	// acknowledgement on. The adapter withholds it from the sink, because
 	// the owner may pass it on only once the commit is confirmed.
 	Tail []byte
 	// DatabaseError is true if the answer holds an error of the database.
 	DatabaseError bool
-	// Replayed is true if the answer was stored by an earlier run of the
-	// same request id.
+	// Replayed is true if the batch did not run, because an earlier one with
+	// the same request id has committed; its answer stands in, if stored.
 	Replayed bool
 }
 
-// Sink takes parts of an answer in order. The slice is only valid during the
-// call. An error from the sink ends the batch.
+// Sink receives the parts of an answer in order. The slice is only valid during
+// the call. An error from the sink ends the batch.
 type Sink func(chunk []byte) error
 
-// Check judges a server's status before its answer is passed on. An error
-// discards the answer.
+// Check decides by a server's status whether its answer may be passed on, for
+// example whether its data are fresh enough. An error discards the answer.
 type Check func(Status) error
 
 // Conn is one connection to a server. It is used by one goroutine at a time,
@@ -184,12 +189,12 @@
 	// An error that the database answers is part of the answer, not an error
 	// of Run.
 	Run(ctx context.Context, batch Batch, check Check, sink Sink) (Result, error)
-	// Status asks for the server's status.
+	// Status queries the server's status.
 	Status(ctx context.Context) (Status, error)
 	// Wait returns once the server includes p or the timeout has passed,
 	// with the status at that moment.
 	Wait(ctx context.Context, p Position, timeout time.Duration) (Status, error)
-	// Fence makes the server promise to accept nothing below term.
+	// Fence makes the server refuse everything from terms below term.
 	Fence(ctx context.Context, term Term) (Status, error)
 	// Promote makes the server the primary of term. Repeating it is safe.
 	Promote(ctx context.Context, term Term) (Status, error)
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a position of a replaced term satisfying a read on a history
-// that does not contain it.
+// Guards against a read on a server that lacks the data of an earlier write: its
+// history does not contain the term of the write's position, or ends it earlier.
 func TestIncludesOnlyPositionsOfTheHistory(t *testing.T) {
 	s := Status{Term: 3, Offset: 20, History: History{{Term: 1, Start: 0}, {Term: 3, Start: 10}}}
 	cases := []struct {
