--- a/upstream/pgupstream/ledger_test.go
+++ b/upstream/pgupstream/ledger_test.go
@@ -18,7 +18,7 @@
 const createV = "CREATE TABLE v (id INTEGER PRIMARY KEY, n TEXT)"
 
 // Guards against a write that runs twice, or not at all, when the connection breaks
-// within its answer and the caller retries on another one.
+// at any byte of the answers and the caller retries on another one.
 func TestRetryAfterLostAnswerRunsOnce(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	direct := dialConn(t, server.Address())
--- a/upstream/pgupstream/payload.go
+++ b/upstream/pgupstream/payload.go
@@ -40,8 +40,8 @@
 	expected []expectedAnswer
 	// keyword is the first keyword of the first statement.
 	keyword string
-	// statements counts the statements. It is exact for 0 and 1; any higher
-	// value means several.
+	// statements counts the statements, but any value above 1 only means that
+	// there are several.
 	statements int
 }
 
--- a/upstream/pgupstream/run.go
+++ b/upstream/pgupstream/run.go
@@ -16,7 +16,7 @@
 // cancelled at the server, and Run returns within cancelAnswerTimeout.
 //
 // With a request id that a committed batch has used, but whose answer isn't
-// stored, Run returns *fault.AlreadyCommitted together with a Result whose After
+// stored, Run returns *fault.AlreadyCommitted together with a Result whose status
 // covers that commit.
 func (c *Conn) Run(ctx context.Context, batch upstream.Batch, check upstream.Check, sink upstream.Sink) (upstream.Result, error) {
 	r, err := newRequest(batch, c.prepared)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -153,7 +153,8 @@
 	// After is the server's status after a write that left no transaction
 	// open. Its position is at or after that of the commit.
 	After Status
-	// Committed is true if After is set and the batch may have committed a write.
+	// Committed is true if that status is set and the batch may have
+	// committed a write.
 	Committed bool
 	// Tail is the end of the answer to a committing write, from the first
 	// acknowledgement on. The adapter withholds it from the sink, because
