--- a/consensus/append.go
+++ b/consensus/append.go
@@ -9,16 +9,16 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// AppendEntries answers a leader once everything that the answer claims is
-// synced.
+// AppendEntries implements ConsensusService. It answers a leader's heartbeat or
+// batch of entries once everything that the response acknowledges is synced.
 func (s *service) AppendEntries(ctx context.Context, request *connect.Request[pb.AppendEntriesRequest]) (*connect.Response[pb.AppendEntriesResponse], error) {
 	n := s.n
 	n.mu.Lock()
-	if n.failed != nil || n.closed {
+	if n.storageErr != nil || n.closed {
 		n.mu.Unlock()
 		return nil, toWire(noLeader("this host has stopped"))
 	}
-	response, op := n.acceptLocked(request.Msg)
+	response, op := n.handleAppendLocked(request.Msg)
 	n.mu.Unlock()
 	if err := n.awaitDisk(ctx, op); err != nil {
 		return nil, toWire(err)
@@ -26,63 +26,69 @@
 	return connect.NewResponse(response), nil
 }
 
-// acceptLocked returns the answer and the op that it depends on.
-func (n *Node) acceptLocked(r *pb.AppendEntriesRequest) (*pb.AppendEntriesResponse, *diskOp) {
+// handleAppendLocked returns the response to a leader's request and the disk
+// operation that must be synced before the response is sent.
+func (n *Node) handleAppendLocked(r *pb.AppendEntriesRequest) (*pb.AppendEntriesResponse, *diskOp) {
 	response := &pb.AppendEntriesResponse{Term: n.term, Incarnation: n.incarnation}
 	if r.Term < n.term || r.Leader == n.options.Name {
-		// The second is this host's own probe of its own address.
+		// A request in this host's own name arrives if it is told to add a
+		// member at its own address and probes that address.
 		return response, nil
 	}
-	n.hearLeaderLocked(r.Term, r.Leader)
+	n.recordLeaderContactLocked(r.Term, r.Leader)
 	response.Term = n.term
 	if r.PrevIndex < n.log.baseIndex {
-		n.skipToBaseLocked(r)
+		n.skipCompactedLocked(r)
 	}
 	if term, ok := n.log.term(r.PrevIndex); !ok || term != r.PrevTerm {
-		response.MatchIndex = n.retryFromLocked(r.PrevIndex)
-		return response, n.hardOp
+		response.MatchIndex = n.retryIndexLocked(r.PrevIndex)
+		return response, n.hardStateOp
 	}
 	response.Success = true
 	last := r.PrevIndex + uint64(len(r.Entries))
-	n.storeLocked(r.Entries)
-	n.commitLocked(min(r.Commit, last))
+	n.storeEntriesLocked(r.Entries)
+	n.raiseCommitLocked(min(r.Commit, last))
 	if len(r.Entries) == 0 {
-		response.MatchIndex = min(last, n.durable)
-		return response, n.hardOp
+		response.MatchIndex = min(last, n.durableIndex)
+		return response, n.hardStateOp
 	}
 	response.MatchIndex = last
-	return response, n.lastOp
+	return response, n.lastDiskOp
 }
 
-// hearLeaderLocked notes contact with the leader of a term that is not lower
-// than this host's.
-func (n *Node) hearLeaderLocked(term uint64, leader string) {
+// recordLeaderContactLocked records a request from the leader of a term that is
+// not lower than this host's, and restarts the election timeout.
+func (n *Node) recordLeaderContactLocked(term uint64, leader string) {
 	if term > n.term || n.role != roleFollower || n.leader != leader {
-		n.followTermLocked(term, leader)
+		n.adoptTermLocked(term, leader)
 	}
-	n.heardAt = bootclock.Now()
-	n.resetElectionLocked()
+	n.leaderContactAt = bootclock.Now()
+	n.resetElectionTimeoutLocked()
 }
 
-// skipToBaseLocked moves a request past the entries that this host's snapshot
-// covers. They are committed, so every later leader holds the same ones.
-func (n *Node) skipToBaseLocked(r *pb.AppendEntriesRequest) {
+// skipCompactedLocked drops from a request the entries that this host has
+// compacted into a snapshot. They are committed, so every later leader holds the
+// same ones.
+func (n *Node) skipCompactedLocked(r *pb.AppendEntriesRequest) {
 	skip := min(n.log.baseIndex-r.PrevIndex, uint64(len(r.Entries)))
 	r.Entries = r.Entries[skip:]
 	r.PrevIndex, r.PrevTerm = n.log.baseIndex, n.log.baseTerm
 }
 
-// retryFromLocked returns the index from which the leader should try again.
-func (n *Node) retryFromLocked(prev uint64) uint64 {
-	if prev > n.log.lastIndex() {
+// retryIndexLocked returns the index from which the leader should send entries
+// after this host's log didn't match at prev. It skips the whole term at prev,
+// so that the leader needs one request per term and not one per entry.
+func (n *Node) retryIndexLocked(prevIndex uint64) uint64 {
+	if prevIndex > n.log.lastIndex() {
 		return n.log.lastIndex() + 1
 	}
-	return n.log.firstOfTerm(prev)
+	return n.log.firstOfTerm(prevIndex)
 }
 
-// storeLocked adds the entries that this host lacks. An entry of another term
-// at the same index was never committed and is dropped with all that follow.
-func (n *Node) storeLocked(entries []*pb.Entry) {
+// storeEntriesLocked appends the entries that this host lacks. An entry of this
+// host that has another term at the same index was never committed, and is
+// dropped with all that follow it.
+func (n *Node) storeEntriesLocked(entries []*pb.Entry) {
 	for i, e := range entries {
 		term, ok := n.log.term(e.Index)
 		if ok && term == e.Term {
@@ -96,10 +102,11 @@
 	}
 }
 
-func (n *Node) commitLocked(index uint64) {
-	if index <= n.commit {
+// raiseCommitLocked raises the commit index and wakes runApply.
+func (n *Node) raiseCommitLocked(index uint64) {
+	if index <= n.commitIndex {
 		return
 	}
-	n.commit = index
+	n.commitIndex = index
 	notify(n.applyWake)
 }
--- a/consensus/apply.go
+++ b/consensus/apply.go
@@ -6,16 +6,17 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// runApply is the only goroutine that uses the state machine once the node has
-// started.
+// runApply applies committed entries, installs snapshots from the leader and
+// takes snapshots. Once the node has started, no other goroutine uses the state
+// machine.
 func (n *Node) runApply(ctx context.Context) {
 	for {
-		restore, entries := n.nextApply()
+		restore, entries := n.pendingApply()
 		switch {
 		case restore != nil:
 			n.runRestore(restore)
 		case len(entries) > 0:
-			n.applyAll(entries)
+			n.applyEntries(entries)
 			n.snapshotIfDue()
 		default:
 			select {
@@ -30,22 +31,24 @@
 	}
 }
 
-func (n *Node) nextApply() (*restoreOp, []*pb.Entry) {
+// pendingApply returns the snapshot to restore, if there is one, or else the next
+// committed entries to apply.
+func (n *Node) pendingApply() (*restoreOp, []*pb.Entry) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if restore := n.restore; restore != nil {
-		n.restore = nil
+	if restore := n.pendingRestore; restore != nil {
+		n.pendingRestore = nil
 		return restore, nil
 	}
-	if n.commit <= n.applied {
+	if n.commitIndex <= n.lastApplied {
 		return nil, nil
 	}
-	entries := n.log.from(n.applied + 1)
-	committed := min(uint64(len(entries)), n.commit-n.applied)
+	entries := n.log.batchFrom(n.lastApplied + 1)
+	committed := min(uint64(len(entries)), n.commitIndex-n.lastApplied)
 	return nil, entries[:committed]
 }
 
-func (n *Node) applyAll(entries []*pb.Entry) {
+func (n *Node) applyEntries(entries []*pb.Entry) {
 	results := make([][]byte, len(entries))
 	for i, e := range entries {
 		if command, ok := e.Payload.(*pb.Entry_Command); ok {
@@ -56,7 +59,7 @@
 	defer n.mu.Unlock()
 	n.setAppliedLocked(entries[len(entries)-1].Index)
 	for i, e := range entries {
-		n.answerLocked(e, results[i])
+		n.completeProposalLocked(e, results[i])
 		if e.GetMembership() != nil {
 			n.membersCommittedLocked()
 		}
@@ -64,13 +67,14 @@
 }
 
 func (n *Node) setAppliedLocked(index uint64) {
-	n.applied = index
+	n.lastApplied = index
 	close(n.appliedCh)
 	n.appliedCh = make(chan struct{})
 }
 
-// snapshotIfDue takes a snapshot of what has been applied and lets go of the
-// entries that it covers.
+// snapshotIfDue saves a snapshot of the applied state once enough entries were
+// applied since the last one. It drops the entries that the snapshot covers from
+// disk and, except for the last trailingEntries, from memory.
 func (n *Node) snapshotIfDue() {
 	meta := n.dueSnapshot()
 	if meta == nil {
@@ -79,36 +83,37 @@
 	state, err := n.options.StateMachine.Snapshot()
 	if err != nil {
 		n.metrics.Counter("snapshots_failed_total").Inc(1)
-		n.logger.Error("state machine gave no snapshot; trying again after the next entry", "error", err)
+		n.logger.Error("state machine failed to take a snapshot; it is tried again after the next applied entries", "error", err)
 		return
 	}
 	if err := n.saveSnapshot(meta, state); err != nil {
-		n.fail(err)
+		n.failStorage(err)
 		return
 	}
 	n.metrics.Counter("snapshots_total").Inc(1)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.snapIndex = meta.Index
+	n.snapshotIndex = meta.Index
 	if meta.Index > trailingEntries {
 		n.log.compact(meta.Index - trailingEntries)
 	}
-	n.queueLocked(&diskOp{compact: meta.Index})
+	n.queueLocked(&diskOp{compactThrough: meta.Index})
 }
 
+// dueSnapshot returns the metadata of the snapshot to take now, or nil.
 func (n *Node) dueSnapshot() *pb.SnapshotMeta {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.applied-n.snapIndex < snapshotEvery || n.failed != nil {
+	if n.lastApplied-n.snapshotIndex < snapshotIntervalEntries || n.storageErr != nil {
 		return nil
 	}
-	term, _ := n.log.term(n.applied)
-	members, _ := n.log.membersAt(n.applied)
-	return &pb.SnapshotMeta{Index: n.applied, Term: term, Membership: members}
+	term, _ := n.log.term(n.lastApplied)
+	members, _ := n.log.membersAt(n.lastApplied)
+	return &pb.SnapshotMeta{Index: n.lastApplied, Term: term, Membership: members}
 }
 
 func (n *Node) saveSnapshot(meta *pb.SnapshotMeta, state []byte) error {
-	n.snapshots.Lock()
-	defer n.snapshots.Unlock()
+	n.snapshotFileMu.Lock()
+	defer n.snapshotFileMu.Unlock()
 	return n.folder.SaveSnapshot(meta.Index, encodeSnapshot(meta, state))
 }
--- a/consensus/cluster_test.go
+++ b/consensus/cluster_test.go
@@ -17,9 +17,9 @@
 	"gotest.tools/v3/poll"
 )
 
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
-// register is a state machine that holds one number and counts its writes.
+// register is a state machine that holds one number and counts the writes to it.
 type register struct {
 	mu     sync.Mutex
 	value  uint64
@@ -55,48 +55,48 @@
 	return r.value, r.writes
 }
 
-func number(v uint64) []byte { return binary.BigEndian.AppendUint64(nil, v) }
+func encodeNumber(v uint64) []byte { return binary.BigEndian.AppendUint64(nil, v) }
 
-// link is the network as one host sees it: requests to cut addresses fail
-// after the request was lost or after the answer was lost.
+// link is the HTTP transport of one host. It can lose the requests to an address,
+// lose the responses from it, or break its connections before the response.
 type link struct {
-	inner http.RoundTripper
-	mu    sync.Mutex
-	cut   map[string]bool // requests to this address are lost
-	deaf  map[string]bool // answers from this address are lost
-	reset map[string]bool // connections to this address break before the answer
+	inner            http.RoundTripper
+	mu               sync.Mutex
+	dropRequests     map[string]bool // requests to these addresses are lost
+	dropResponses    map[string]bool // responses from these addresses are lost
+	breakConnections map[string]bool // connections to these addresses break before the response
 }
 
 func newLink() *link {
 	return &link{
-		inner: NewHTTPClient().Transport,
-		cut:   make(map[string]bool),
-		deaf:  make(map[string]bool),
-		reset: make(map[string]bool),
+		inner:            NewHTTPClient().Transport,
+		dropRequests:     make(map[string]bool),
+		dropResponses:    make(map[string]bool),
+		breakConnections: make(map[string]bool),
 	}
 }
 
 func (l *link) RoundTrip(request *http.Request) (*http.Response, error) {
-	if l.lost(l.cut, request.URL.Host) {
+	if l.contains(l.dropRequests, request.URL.Host) {
 		<-request.Context().Done()
 		return nil, request.Context().Err()
 	}
 	response, err := l.inner.RoundTrip(request)
-	if l.lost(l.deaf, request.URL.Host) || l.lost(l.cut, request.URL.Host) {
+	if l.contains(l.dropResponses, request.URL.Host) || l.contains(l.dropRequests, request.URL.Host) {
 		if err == nil {
 			response.Body.Close()
 		}
 		<-request.Context().Done()
 		return nil, request.Context().Err()
 	}
-	if err == nil && l.lost(l.reset, request.URL.Host) {
+	if err == nil && l.contains(l.breakConnections, request.URL.Host) {
 		response.Body.Close()
 		return nil, io.ErrUnexpectedEOF
 	}
 	return response, err
 }
 
-func (l *link) lost(set map[string]bool, address string) bool {
+func (l *link) contains(set map[string]bool, address string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return set[address]
@@ -108,7 +108,8 @@
 	set[address] = on
 }
 
-// host is one member with its server. Its address survives restarts.
+// host is one member of a test cluster with its HTTP server. It keeps its address
+// over restarts.
 type host struct {
 	t       testing.TB
 	options Options
@@ -132,17 +133,17 @@
 	return slog.New(slog.NewTextHandler(t.Output(), nil))
 }
 
-// newCluster starts the named hosts, which form a cluster.
+// newCluster starts hosts of the given names, which form a cluster.
 func newCluster(t testing.TB, names ...string) *cluster {
-	c := plannedCluster(t, names...)
+	c := newStoppedCluster(t, names...)
 	for _, h := range c.hosts {
 		h.start()
 	}
 	return c
 }
 
-// plannedCluster starts nothing yet.
-func plannedCluster(t testing.TB, names ...string) *cluster {
+// newStoppedCluster prepares hosts that form a cluster once the test starts them.
+func newStoppedCluster(t testing.TB, names ...string) *cluster {
 	c := &cluster{t: t, dir: t.TempDir()}
 	var members []Member
 	for _, name := range names {
@@ -202,9 +203,9 @@
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	server := &http.Server{Handler: mux, Protocols: protocols}
-	// An outgoing connection may hold the port for a moment.
+	// An outgoing connection may occupy the port for a moment.
 	var listener net.Listener
-	waitFor(h.t, "the port", func() bool {
+	waitFor(h.t, "the port of the host", func() bool {
 		listener, err = net.Listen("tcp", h.address)
 		return err == nil
 	})
@@ -222,15 +223,16 @@
 	h.node = nil
 }
 
-// wipe replaces the disk of a stopped host by an empty one.
+// wipe deletes the data folder of a stopped host.
 func (h *host) wipe() { assert.NilError(h.t, os.RemoveAll(h.options.DataDir)) }
 
-// isolate cuts h off from all other hosts, in both directions, or ends that.
+// isolate starts or ends a partition between h and all other hosts, in both
+// directions.
 func (c *cluster) isolate(h *host, on bool) {
 	for _, other := range c.hosts {
 		if other != h {
-			h.link.set(h.link.cut, other.address, on)
-			other.link.set(other.link.cut, h.address, on)
+			h.link.set(h.link.dropRequests, other.address, on)
+			other.link.set(other.link.dropRequests, h.address, on)
 		}
 	}
 }
@@ -244,14 +246,15 @@
 	return nil
 }
 
-// leader waits until one of the hosts leads.
-func (c *cluster) leader(hosts ...*host) *host {
+// awaitLeader waits until one of the given hosts, or of all hosts, leads, and
+// returns it.
+func (c *cluster) awaitLeader(hosts ...*host) *host {
 	c.t.Helper()
 	if len(hosts) == 0 {
 		hosts = c.hosts
 	}
 	var found *host
-	waitFor(c.t, "a leader", func() bool {
+	waitFor(c.t, "a host to lead", func() bool {
 		for _, h := range hosts {
 			if h.node == nil {
 				continue
@@ -276,21 +279,22 @@
 	return found
 }
 
-// propose writes value through h and retries while no leader can be reached.
+// propose writes value through h, and repeats the proposal until it succeeds.
 func (h *host) propose(value uint64) {
 	h.t.Helper()
-	waitFor(h.t, "a proposal", func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+	waitFor(h.t, "a proposal to succeed", func() bool {
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
-		_, err := h.node.Propose(ctx, number(value))
+		_, err := h.node.Propose(ctx, encodeNumber(value))
 		return err == nil
 	})
 }
 
-// readsBack waits until a confirmed read through h returns value.
-func (h *host) readsBack(value uint64) {
+// awaitRead waits until a linearizable read through h succeeds, and checks that it
+// returns value.
+func (h *host) awaitRead(value uint64) {
 	h.t.Helper()
-	waitFor(h.t, "a read", func() bool {
+	waitFor(h.t, "a read to succeed", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		if _, err := h.node.ReadIndex(ctx); err != nil {
@@ -302,7 +306,8 @@
 	})
 }
 
-func (h *host) voterIs(name string) bool {
+// seesVoter reports whether the membership in force on h names a member as voter.
+func (h *host) seesVoter(name string) bool {
 	for _, m := range h.node.Members() {
 		if m.Name == name {
 			return m.Voter
@@ -319,5 +324,5 @@
 		}
 		return poll.Continue("waiting for %s", what)
 	}
-	poll.WaitOn(t, check, poll.WithTimeout(patience), poll.WithDelay(10*time.Millisecond))
+	poll.WaitOn(t, check, poll.WithTimeout(testTimeout), poll.WithDelay(10*time.Millisecond))
 }
--- a/consensus/disk.go
+++ b/consensus/disk.go
@@ -7,36 +7,38 @@
 	"lovageslip/wal"
 )
 
-// diskOp is a step that must be synced. Ops reach the disk in the order in
-// which they were queued, so state in memory may run ahead of the disk as long
-// as every answer waits for the ops that it depends on.
+// diskOp is a group of records that must be written and synced, or a compaction.
+// Operations reach the disk in the order in which they were queued, so state in
+// memory may be ahead of the disk as long as every response waits for the
+// operations that it depends on.
 type diskOp struct {
 	records []wal.Record
-	// lastIndex and lastTerm name the last entry in records.
+	// lastIndex and lastTerm are those of the last entry in records, or 0.
 	lastIndex, lastTerm uint64
-	hard                *wal.Record
-	// compact, if not 0, removes what a snapshot at this index covers.
-	compact uint64
-	done    chan struct{}
+	hardState           *wal.Record // the term and vote in records, or nil
+	// compactThrough is the index of a saved snapshot, or 0. The segments that
+	// the snapshot covers are removed.
+	compactThrough uint64
+	done           chan struct{} // closed once synced
 }
 
 func (n *Node) queueLocked(op *diskOp) {
 	op.done = make(chan struct{})
-	n.ops = append(n.ops, op)
-	n.lastOp = op
-	notify(n.opsWake)
+	n.diskOps = append(n.diskOps, op)
+	n.lastDiskOp = op
+	notify(n.diskWake)
 }
 
-// setHardStateLocked changes term and vote. The caller waits for n.hardOp
-// before it answers.
+// setHardStateLocked changes term and vote. The caller waits for n.hardStateOp
+// before it answers another host.
 func (n *Node) setHardStateLocked(term uint64, votedFor string) {
 	n.term = term
 	n.votedFor = votedFor
 	data := encode(&pb.HardState{Term: term, VotedFor: votedFor})
 	record := wal.Record{Kind: kindHardState, Data: data}
-	op := &diskOp{records: []wal.Record{record}, hard: &record}
+	op := &diskOp{records: []wal.Record{record}, hardState: &record}
 	n.queueLocked(op)
-	n.hardOp = op
+	n.hardStateOp = op
 }
 
 // appendLocked adds entries to the end of the log and queues their write.
@@ -47,21 +49,21 @@
 		op.records = append(op.records, entryRecord(e))
 		op.lastIndex, op.lastTerm = e.Index, e.Term
 		if e.GetMembership() != nil {
-			n.membersChangedLocked()
+			n.reloadMembersLocked()
 		}
 	}
 	n.queueLocked(op)
 }
 
-// truncateLocked drops the entries from index on from memory. On the disk they
-// are overridden by the entries that replace them.
+// truncateLocked drops the entries from index on from memory. On disk they stay;
+// recovery lets the entries that replace them take precedence.
 func (n *Node) truncateLocked(index uint64) {
 	n.log.truncate(index)
-	n.durable = min(n.durable, index-1)
-	n.membersChangedLocked()
+	n.durableIndex = min(n.durableIndex, index-1)
+	n.reloadMembersLocked()
 }
 
-// awaitDisk waits until an op is synced. A nil op counts as synced.
+// awaitDisk waits until an operation is synced. nil counts as synced.
 func (n *Node) awaitDisk(ctx context.Context, op *diskOp) error {
 	if op == nil {
 		return nil
@@ -69,40 +71,41 @@
 	select {
 	case <-op.done:
 		return nil
-	case <-n.failedCh:
+	case <-n.storageFailed:
 		return n.Err()
 	case <-ctx.Done():
 		return cancelled(ctx)
 	case <-n.ctx.Done():
-		return stopping()
+		return hostStopping()
 	}
 }
 
-// runDisk writes queued ops, with one sync for all that have gathered.
+// runDisk writes the queued operations, with one sync for all that were queued
+// since the last write. It ends at the first failure.
 func (n *Node) runDisk(ctx context.Context) {
 	for {
-		ops := n.takeOps()
+		ops := n.takeQueuedOps()
 		if len(ops) == 0 {
 			select {
-			case <-n.opsWake:
+			case <-n.diskWake:
 				continue
 			case <-ctx.Done():
 				return
 			}
 		}
 		if err := n.writeOps(ops); err != nil {
-			n.fail(err)
+			n.failStorage(err)
 			return
 		}
 		n.finishOps(ops)
 	}
 }
 
-func (n *Node) takeOps() []*diskOp {
+func (n *Node) takeQueuedOps() []*diskOp {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	ops := n.ops
-	n.ops = nil
+	ops := n.diskOps
+	n.diskOps = nil
 	return ops
 }
 
@@ -111,9 +114,9 @@
 	var compact uint64
 	for _, op := range ops {
 		records = append(records, op.records...)
-		compact = max(compact, op.compact)
-		if op.hard != nil {
-			n.preamble[1] = *op.hard
+		compact = max(compact, op.compactThrough)
+		if op.hardState != nil {
+			n.preamble[1] = *op.hardState
 		}
 	}
 	if len(records) > 0 {
@@ -140,42 +143,46 @@
 	defer n.mu.Unlock()
 	for _, op := range ops {
 		close(op.done)
-		// The entries may have been replaced in memory since.
+		// Another leader's entries may have replaced these in memory while
+		// they were written.
 		term, ok := n.log.term(op.lastIndex)
 		if op.lastIndex > 0 && ok && term == op.lastTerm {
-			n.durable = max(n.durable, op.lastIndex)
+			n.durableIndex = max(n.durableIndex, op.lastIndex)
 		}
 	}
 	if n.role == roleLeader {
-		n.progressLocked()
+		n.advanceLocked()
 	}
 }
 
-// fail stops this host from voting, acknowledging and leading.
-func (n *Node) fail(err error) {
+// failStorage stops this host from voting, acknowledging entries and leading
+// until it is restarted. After a failed write or sync, any part of the records
+// may be on the disk.
+func (n *Node) failStorage(err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.failed != nil {
+	if n.storageErr != nil {
 		return
 	}
-	n.failed = &StorageFailed{Err: err}
-	close(n.failedCh)
+	n.storageErr = &StorageFailed{Err: err}
+	close(n.storageFailed)
 	n.metrics.Counter("storage_failed_total").Inc(1)
-	n.logger.Error("storage failed; no votes or acknowledgements until a restart", "error", err)
-	n.followLocked("")
+	n.logger.Error("storage failed; this host neither votes nor acknowledges entries until it is restarted", "error", err)
+	n.becomeFollowerLocked("")
 }
 
 // Err returns *StorageFailed once the disk has failed, else nil.
 func (n *Node) Err() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.failed
+	return n.storageErr
 }
 
 // Failed returns a channel that is closed when the disk fails.
-func (n *Node) Failed() <-chan struct{} { return n.failedCh }
+func (n *Node) Failed() <-chan struct{} { return n.storageFailed }
 
-// notify wakes the reader of a channel with room for one signal.
+// notify wakes the goroutine that receives from wake, a channel with a buffer of
+// one. A signal that is already pending is enough.
 func notify(wake chan struct{}) {
 	select {
 	case wake <- struct{}{}:
--- a/consensus/disk_test.go
+++ b/consensus/disk_test.go
@@ -16,13 +16,14 @@
 	"lovageslip/wal"
 )
 
-// faultyFS fails or blocks syncs and writes on demand.
+// faultyFS is a file system whose writes a test can fail and whose syncs it can
+// block.
 type faultyFS struct {
 	wal.OS
-	full atomic.Bool
-	// noEntries fails writes that start with an entry.
-	noEntries atomic.Bool
-	gate      sync.RWMutex // held for writing while syncs must wait
+	failWrites atomic.Bool // fail all writes as on a full disk
+	// failEntryWrites fails only writes that start with an entry.
+	failEntryWrites atomic.Bool
+	syncGate        sync.RWMutex // the test locks it while syncs must wait
 }
 
 type faultyFile struct {
@@ -36,9 +37,9 @@
 }
 
 func (f *faultyFile) WriteAt(data []byte, offset int64) (int, error) {
-	const kindOffset = 12
+	const kindOffset = 12 // of the record's kind in a write to the log
 	entry := len(data) > kindOffset && data[kindOffset] == kindEntry
-	if f.fs.full.Load() || entry && f.fs.noEntries.Load() {
+	if f.fs.failWrites.Load() || entry && f.fs.failEntryWrites.Load() {
 		n, _ := f.File.WriteAt(data[:len(data)/2], offset)
 		return n, syscall.ENOSPC
 	}
@@ -46,12 +47,12 @@
 }
 
 func (f *faultyFile) Sync() error {
-	f.fs.gate.RLock()
-	defer f.fs.gate.RUnlock()
+	f.fs.syncGate.RLock()
+	defer f.fs.syncGate.RUnlock()
 	return f.File.Sync()
 }
 
-func counter(scope tally.TestScope, name string) int64 {
+func counterValue(scope tally.TestScope, name string) int64 {
 	for _, c := range scope.Snapshot().Counters() {
 		if c.Name() == "consensus."+name {
 			return c.Value()
@@ -60,55 +61,58 @@
 	return 0
 }
 
-// Guards against a wiped host that votes for entries it has lost, and against
-// losing changes when a second host fails just after the first was repaired.
-func TestLostDiskThenLossOfASecondHost(t *testing.T) {
+// Guards against the loss of committed changes when one host loses its disk and
+// then another host fails. The wiped host must not vote until it was removed and
+// added again, since it may have lost entries that it had acknowledged. After
+// that, it and one other host must hold all changes.
+func TestWipedHostThenLossOfSecondHost(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	a, b, wiped := c.host("a"), c.host("b"), c.host("c")
-	c.leader().propose(11)
+	c.awaitLeader().propose(11)
 	wiped.stop()
 	wiped.wipe()
 	wiped.start()
-	waitFor(t, "the wiped host to hold the entries", func() bool {
+	waitFor(t, "the wiped host to apply the entries", func() bool {
 		value, _ := wiped.state.read()
 		return value == 11
 	})
 
-	wipedHostGivesNoVote(t, c, a, b)
+	checkWipedHostGivesNoVote(t, c, a, b)
 
-	c.leader().propose(12)
+	c.awaitLeader().propose(12)
 	a.removeMember("c")
-	assert.Check(t, !a.voterIs("c"))
+	assert.Check(t, !a.seesVoter("c"))
 	a.addMember("c", wiped.address)
-	waitFor(t, "the repaired host to be a voter", func() bool { return wiped.voterIs("c") && a.voterIs("c") })
-	c.leader().propose(13)
+	waitFor(t, "the repaired host to be a voter", func() bool { return wiped.seesVoter("c") && a.seesVoter("c") })
+	c.awaitLeader().propose(13)
 
 	b.stop()
-	a.readsBack(13)
-	wiped.readsBack(13)
+	a.awaitRead(13)
+	wiped.awaitRead(13)
 	a.propose(14)
-	wiped.readsBack(14)
+	wiped.awaitRead(14)
 }
 
-// wipedHostGivesNoVote stops b and checks that a can't win with c's vote.
-func wipedHostGivesNoVote(t *testing.T, c *cluster, a, b *host) {
+// checkWipedHostGivesNoVote stops b and checks that a can't be elected with the
+// vote of c, the wiped host.
+func checkWipedHostGivesNoVote(t *testing.T, c *cluster, a, b *host) {
 	b.stop()
 	a.stop()
 	scope := tally.NewTestScope("", nil)
 	a.options.Metrics = scope
 	a.start()
-	waitFor(t, "several campaigns", func() bool { return counter(scope, "campaigns_total") >= 4 })
-	assert.Equal(t, counter(scope, "elections_won_total"), int64(0))
+	waitFor(t, "several campaigns of host a", func() bool { return counterValue(scope, "campaigns_total") >= 4 })
+	assert.Equal(t, counterValue(scope, "elections_won_total"), int64(0))
 	_, ok := c.host("c").node.Leadership()
 	assert.Check(t, !ok)
 	b.start()
-	c.leader(a, b)
+	c.awaitLeader(a, b)
 }
 
 func (h *host) removeMember(name string) {
 	h.t.Helper()
 	waitFor(h.t, "removal of "+name, func() bool {
-		ctx, cancel := shortly()
+		ctx, cancel := shortContext()
 		defer cancel()
 		return h.node.RemoveMember(ctx, name) == nil
 	})
@@ -117,38 +121,38 @@
 func (h *host) addMember(name, address string) {
 	h.t.Helper()
 	waitFor(h.t, "addition of "+name, func() bool {
-		ctx, cancel := shortly()
+		ctx, cancel := shortContext()
 		defer cancel()
 		return h.node.AddMember(ctx, name, address) == nil
 	})
 }
 
-// Guards against a wiped host that is counted under its old name, and against
-// adding it again without a removal.
+// Guards against a wiped host whose responses count towards a quorum as those of
+// the member that it was, and against adding it again without removing it first.
 func TestWipedHostMustBeRemovedFirst(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	c.leader().propose(1)
-	wiped := c.others(c.leader())[0]
+	c.awaitLeader().propose(1)
+	wiped := c.others(c.awaitLeader())[0]
 	name := wiped.options.Name
 	wiped.stop()
 	wiped.wipe()
 	wiped.start()
-	leader := c.leader(c.others(wiped)...)
-	ctx, cancel := shortly()
+	leader := c.awaitLeader(c.others(wiped)...)
+	ctx, cancel := shortContext()
 	defer cancel()
 	var refused *ChangeRefused
 	err := leader.node.AddMember(ctx, name, wiped.address)
 	assert.Check(t, errors.As(err, &refused), "%v", err)
 	waitFor(t, "the leader to notice the other data folder", func() bool {
-		n := c.leader(c.others(wiped)...).node
+		n := c.awaitLeader(c.others(wiped)...).node
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		return n.role == roleLeader && !n.countsLocked(findMember(n.members, name))
+		return n.role == roleLeader && !n.countsTowardsQuorumLocked(findMember(n.members, name))
 	})
 }
 
-// Guards against a host that takes itself for a new voter after its snapshot
-// was lost.
+// Guards against a host that starts as if it were new after its snapshot file was
+// lost, and that could then vote without the entries that the snapshot covered.
 func TestMissingSnapshotIsReported(t *testing.T) {
 	c := newCluster(t, "a")
 	h := c.hosts[0]
@@ -158,22 +162,22 @@
 	files, err := filepath.Glob(filepath.Join(h.options.DataDir, "*.snapshot"))
 	assert.NilError(t, err)
 	assert.NilError(t, os.Remove(files[0]))
-	var bad *BadLog
+	var bad *UnusableLog
 	err = h.tryStart()
 	assert.Check(t, errors.As(err, &bad), "%v", err)
 }
 
-// Guards against a host with a full disk that goes on voting, acknowledging or
-// leading.
-func TestFullDiskStopsTheHostOnly(t *testing.T) {
+// Guards against a host with a full disk that goes on voting, acknowledging
+// entries or leading, and against changes that fail on the other hosts as well.
+func TestFullDiskStopsOnlyThatHost(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	victim := c.leader()
+	victim := c.awaitLeader()
 	fs := &faultyFS{}
 	victim.stop()
 	victim.options.FS = fs
 	victim.start()
-	victim.readsBack(0)
-	fs.full.Store(true)
+	victim.awaitRead(0)
+	fs.failWrites.Store(true)
 	c.others(victim)[0].propose(21)
 	<-victim.node.Failed()
 	assert.Check(t, errors.Is(victim.node.Err(), syscall.ENOSPC), "%v", victim.node.Err())
@@ -182,68 +186,70 @@
 	victim.node.mu.Lock()
 	assert.Check(t, !victim.node.canVoteLocked())
 	victim.node.mu.Unlock()
-	fs.full.Store(false)
+	fs.failWrites.Store(false)
 	victim.stop()
 	victim.start()
-	victim.readsBack(21)
+	victim.awaitRead(21)
 }
 
-// Guards against two changes of membership at the same time.
+// Guards against two changes of membership in progress at the same time, whose
+// majorities need not have a host in common.
 func TestMembersChangeOneAtATime(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	gates := c.slowDisks()
-	leader := c.leader()
+	disks := c.useFaultyDisks()
+	leader := c.awaitLeader()
 	d, e := c.newHost("d"), c.newHost("e")
 	d.start()
 	e.start()
-	// d catches up from a snapshot.
+	// After this many entries, d needs a snapshot to catch up.
 	proposeMany(t, leader, 1600)
-	for _, fs := range gates {
-		fs.gate.Lock()
+	for _, fs := range disks {
+		fs.syncGate.Lock()
 	}
 	first := make(chan error, 1)
 	go func() { first <- leader.node.AddMember(context.Background(), "d", d.address) }()
 	waitFor(t, "the first change to be logged", func() bool { return len(leader.node.Members()) == 4 })
 	var refused *ChangeRefused
-	ctx, cancel := shortly()
+	ctx, cancel := shortContext()
 	defer cancel()
 	err := leader.node.AddMember(ctx, "e", e.address)
 	assert.Check(t, errors.As(err, &refused), "%v", err)
-	for _, fs := range gates {
-		fs.gate.Unlock()
+	for _, fs := range disks {
+		fs.syncGate.Unlock()
 	}
 	assert.NilError(t, <-first)
-	waitFor(t, "d to be a voter", func() bool { return d.voterIs("d") })
+	waitFor(t, "d to be a voter", func() bool { return d.seesVoter("d") })
 	leader.addMember("e", e.address)
-	waitFor(t, "e to be a voter", func() bool { return e.voterIs("e") })
+	waitFor(t, "e to be a voter", func() bool { return e.seesVoter("e") })
 	e.propose(31)
-	d.readsBack(31)
+	d.awaitRead(31)
 }
 
-// slowDisks restarts all hosts with disks whose syncs can be held back.
-func (c *cluster) slowDisks() []*faultyFS {
-	var gates []*faultyFS
-	c.leader().propose(0)
+// useFaultyDisks restarts each host on a faultyFS, whose syncs the test can block,
+// and returns these in the order of c.hosts.
+func (c *cluster) useFaultyDisks() []*faultyFS {
+	var disks []*faultyFS
+	c.awaitLeader().propose(0)
 	for _, h := range c.hosts {
 		fs := &faultyFS{}
 		h.stop()
 		h.options.FS = fs
 		h.start()
-		gates = append(gates, fs)
+		disks = append(disks, fs)
 	}
-	return gates
+	return disks
 }
 
-// Guards against a removed leader that goes on leading, or that leaves before
-// its own removal is committed.
+// Guards against a leader that goes on leading after its own removal was
+// committed, or that stops before that.
 func TestLeaderRemovesItself(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	old := c.leader()
-	old.propose(1)
-	old.removeMember(old.options.Name)
-	fresh := c.leader(c.others(old)...)
-	fresh.propose(2)
-	assert.Equal(t, len(fresh.node.Members()), 2)
-	_, ok := old.node.Leadership()
+	oldLeader := c.awaitLeader()
+	oldLeader.propose(1)
+	oldLeader.removeMember(oldLeader.options.Name)
+	newLeader := c.awaitLeader(c.others(oldLeader)...)
+	newLeader.propose(2)
+	assert.Equal(t, len(newLeader.node.Members()), 2)
+	_, ok := oldLeader.node.Leadership()
 	assert.Check(t, !ok)
 }
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -13,69 +13,74 @@
 	"lovageslip/internal/pause"
 )
 
-// formationIndex is the entry that records the first membership with the
-// incarnations of its members. A host with an empty log can't tell whether it
-// is new or was wiped, so it votes only for a candidate whose log ends at or
-// before this entry, and such a candidate needs the votes of all members. The
-// leader logs nothing after this entry until all members hold it. So nothing
-// that was committed later can be lost by the vote of a wiped host.
+// formationIndex is the index of the entry that records the first membership
+// with the incarnations of its members. A host with an empty log can't tell
+// whether it is new or was wiped, so it votes only for a candidate whose log
+// ends at or before this entry, and such a candidate needs the votes of all
+// members. The leader appends nothing after this entry until all members hold
+// it. So the vote of a wiped host can't lose an entry that was committed later.
 const formationIndex = 1
 
-func (n *Node) startTimersLocked() {
-	// Before the restart this host may have answered a leader's heartbeat.
-	n.heardAt = bootclock.Now()
-	n.resetElectionLocked()
-	if n.formingLocked() {
-		n.heardAt = time.Time{}
+func (n *Node) startElectionTimeoutLocked() {
+	// Just before a restart, this host may have answered a heartbeat and so
+	// renewed a leader's lease.
+	n.leaderContactAt = bootclock.Now()
+	n.resetElectionTimeoutLocked()
+	if n.logEmptyLocked() {
+		n.leaderContactAt = time.Time{}
 	}
 	if n.isOnlyVoterLocked() {
-		n.heardAt = time.Time{}
-		n.electionAt = time.Now()
+		n.leaderContactAt = time.Time{}
+		n.electionDeadline = time.Now()
 	}
 }
 
-func (n *Node) resetElectionLocked() {
+func (n *Node) resetElectionTimeoutLocked() {
 	timeout := electionTimeoutMin + rand.N(electionTimeoutMax-electionTimeoutMin)
-	n.electionAt = time.Now().Add(timeout)
+	n.electionDeadline = time.Now().Add(timeout)
 }
 
-// formingLocked reports that this host's log is empty.
-func (n *Node) formingLocked() bool { return n.log.lastIndex() == 0 }
+// logEmptyLocked reports whether this host's log is empty: it has not taken part
+// in forming a cluster, or it was wiped.
+func (n *Node) logEmptyLocked() bool { return n.log.lastIndex() == 0 }
 
-// canVoteLocked reports whether this host is a voter under the incarnation of
-// its data folder. A wiped host that returns under its name is not.
+// canVoteLocked reports whether this host may vote: the membership names it as a
+// voter with the incarnation of its data folder. A wiped host that returns under
+// its old name has another incarnation.
 func (n *Node) canVoteLocked() bool {
 	self := findMember(n.members, n.options.Name)
-	if n.failed != nil || n.closed || self == nil || !self.Voter {
+	if n.storageErr != nil || n.closed || self == nil || !self.Voter {
 		return false
 	}
-	return n.formingLocked() || self.Incarnation == n.incarnation
+	return n.logEmptyLocked() || self.Incarnation == n.incarnation
 }
 
 func (n *Node) isOnlyVoterLocked() bool {
 	return n.canVoteLocked() && len(voters(n.members)) == 1
 }
 
-// mayCampaignLocked: forming needs all members, so one of them is enough to
-// campaign, and votes are never split.
+// mayCampaignLocked reports whether this host may be a candidate. To form a
+// cluster, a candidate needs the votes of all members. So only the member with
+// the lowest name campaigns then, and votes can't be split.
 func (n *Node) mayCampaignLocked() bool {
 	if !n.canVoteLocked() {
 		return false
 	}
-	return !n.formingLocked() || firstName(n.members) == n.options.Name
+	return !n.logEmptyLocked() || lowestName(n.members) == n.options.Name
 }
 
-// heardLeaderLocked reports whether a leader may still hold a lease that this
-// host's answer has renewed.
-func (n *Node) heardLeaderLocked() bool {
+// leaderMayHoldLeaseLocked reports whether a leader may still hold a lease that
+// this host's response has renewed. While it may, this host grants no vote.
+func (n *Node) leaderMayHoldLeaseLocked() bool {
 	if n.role == roleLeader {
 		return n.leaseValidLocked()
 	}
-	return bootclock.Since(n.heardAt) < electionTimeoutMin
+	return bootclock.Since(n.leaderContactAt) < electionTimeoutMin
 }
 
-// runElections campaigns when no leader is heard, and makes a leader step down
-// when it hears from no quorum.
+// runElections starts an election when the election timeout passes without a
+// leader's request, and makes this host step down from leading when no quorum
+// answers it.
 func (n *Node) runElections(ctx context.Context) {
 	for pause.For(ctx, n.untilElection()) {
 		if n.electionDue() {
@@ -90,109 +95,112 @@
 	if n.role == roleLeader {
 		return leaseCheckInterval
 	}
-	return max(time.Until(n.electionAt), time.Millisecond)
+	return max(time.Until(n.electionDeadline), time.Millisecond)
 }
 
 func (n *Node) electionDue() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.role == roleLeader {
-		n.stepDownIfAloneLocked()
+		n.stepDownWithoutQuorumLocked()
 		return false
 	}
-	if time.Until(n.electionAt) > 0 {
+	if time.Until(n.electionDeadline) > 0 {
 		return false
 	}
-	n.resetElectionLocked()
+	n.resetElectionTimeoutLocked()
 	return n.mayCampaignLocked()
 }
 
-// ballot is one round of requests for votes.
-type ballot struct {
+// voteRound is one round of vote or pre-vote requests to all voters.
+type voteRound struct {
 	request *pb.RequestVoteRequest
 	members *pb.Membership
 	needed  int
 }
 
-// campaign asks first whether an election could be won, so that a host that
-// was cut off doesn't raise the term of a working cluster when it returns.
+// campaign runs a pre-vote and, if this host could win, an election. Without the
+// pre-vote, a host that was partitioned from a working cluster would raise the
+// term when it returns, and the leader would step down.
 func (n *Node) campaign(ctx context.Context) {
 	n.metrics.Counter("campaigns_total").Inc(1)
-	pre := n.preBallot()
-	if !n.collect(ctx, pre) {
+	preVote := n.preVoteRound()
+	if !n.collectVotes(ctx, preVote) {
 		return
 	}
-	real, op := n.realBallot(pre)
-	if real == nil || n.awaitDisk(ctx, op) != nil {
+	election, op := n.startElection(preVote)
+	if election == nil || n.awaitDisk(ctx, op) != nil {
 		return
 	}
-	if n.collect(ctx, real) {
-		n.becomeLeader(real.request.Term)
+	if n.collectVotes(ctx, election) {
+		n.becomeLeader(election.request.Term)
 	}
 }
 
-func (n *Node) preBallot() *ballot {
+func (n *Node) preVoteRound() *voteRound {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ballotLocked(n.term+1, true)
+	return n.voteRoundLocked(n.term+1, true)
 }
 
-func (n *Node) ballotLocked(term uint64, pre bool) *ballot {
-	b := &ballot{members: n.members}
-	b.request = &pb.RequestVoteRequest{
+func (n *Node) voteRoundLocked(term uint64, preVote bool) *voteRound {
+	round := &voteRound{members: n.members}
+	round.request = &pb.RequestVoteRequest{
 		Term:      term,
 		Candidate: n.options.Name,
 		LastIndex: n.log.lastIndex(),
 		LastTerm:  n.log.lastTerm(),
-		PreVote:   pre,
+		PreVote:   preVote,
 	}
-	b.needed = len(voters(n.members))/2 + 1
-	if b.request.LastIndex <= formationIndex {
-		b.needed = len(voters(n.members))
+	round.needed = len(voters(n.members))/2 + 1
+	if round.request.LastIndex <= formationIndex {
+		round.needed = len(voters(n.members))
 	}
-	return b
+	return round
 }
 
-// realBallot votes for this host, unless a leader was heard or the term has
-// changed since the pre-vote.
-func (n *Node) realBallot(pre *ballot) (*ballot, *diskOp) {
+// startElection raises the term, votes for this host and returns the round of
+// vote requests, with the disk operation that syncs the vote. It returns nil if,
+// since the pre-vote, the term has changed, a leader has sent a request or this
+// host may no longer campaign.
+func (n *Node) startElection(preVote *voteRound) (*voteRound, *diskOp) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	stale := n.term+1 != pre.request.Term || n.role == roleLeader
-	if stale || n.heardLeaderLocked() || !n.mayCampaignLocked() {
+	stale := n.term+1 != preVote.request.Term || n.role == roleLeader
+	if stale || n.leaderMayHoldLeaseLocked() || !n.mayCampaignLocked() {
 		return nil, nil
 	}
 	n.role = roleCandidate
 	n.leader = ""
 	n.setHardStateLocked(n.term+1, n.options.Name)
-	n.resetElectionLocked()
-	return n.ballotLocked(n.term, false), n.hardOp
+	n.resetElectionTimeoutLocked()
+	return n.voteRoundLocked(n.term, false), n.hardStateOp
 }
 
-// collect asks all voters at the same time and reports whether enough of them
-// granted the request. It counts this host's own vote.
-func (n *Node) collect(ctx context.Context, b *ballot) bool {
+// collectVotes asks all other voters concurrently and reports whether enough
+// votes were granted within voteTimeout, this host's own included.
+func (n *Node) collectVotes(ctx context.Context, round *voteRound) bool {
 	ctx, cancel := context.WithTimeout(ctx, voteTimeout)
 	defer cancel()
 	var group conc.WaitGroup
 	defer group.Wait()
-	others := otherVoters(b.members, n.options.Name)
+	others := otherVoters(round.members, n.options.Name)
 	answers := make(chan bool, len(others))
 	for _, m := range others {
-		group.Go(func() { answers <- n.requestVote(ctx, m, b.request) })
+		group.Go(func() { answers <- n.requestVote(ctx, m, round.request) })
 	}
 	granted := 1
 	for range others {
-		if granted >= b.needed {
+		if granted >= round.needed {
 			break
 		}
 		if <-answers {
 			granted++
 		}
 	}
-	// Late answers are not needed.
+	// The outcome is known, so the calls still in progress need not end.
 	cancel()
-	return granted >= b.needed
+	return granted >= round.needed
 }
 
 func (n *Node) requestVote(ctx context.Context, m *pb.Member, request *pb.RequestVoteRequest) bool {
@@ -207,40 +215,45 @@
 	return response.Msg.Granted
 }
 
-// observeTerm follows a term that is higher than this host's.
+// observeTerm adopts a term that is higher than this host's and makes it a
+// follower.
 func (n *Node) observeTerm(term uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if term > n.term {
-		n.followTermLocked(term, "")
+		n.adoptTermLocked(term, "")
 	}
 }
 
-func (n *Node) followTermLocked(term uint64, leader string) {
+// adoptTermLocked makes this host a follower in the given term, with an empty
+// vote if the term is higher than its own. leader is empty if not known.
+func (n *Node) adoptTermLocked(term uint64, leader string) {
 	if term > n.term {
 		n.setHardStateLocked(term, "")
 	}
-	n.followLocked(leader)
+	n.becomeFollowerLocked(leader)
 }
 
-// followLocked ends a leadership or candidacy.
-func (n *Node) followLocked(leader string) {
+// becomeFollowerLocked ends a leadership or candidacy. leader is empty if not
+// known.
+func (n *Node) becomeFollowerLocked(leader string) {
 	if n.role == roleLeader {
 		n.endLeadershipLocked()
 	}
 	if leader != "" && leader != n.leader {
-		n.logger.Info("following a leader", "leader", leader, "term", n.term)
+		n.logger.Info("this host follows a leader", "leader", leader, "term", n.term)
 	}
 	n.role = roleFollower
 	n.leader = leader
 }
 
-// RequestVote answers a candidate once the vote is synced.
+// RequestVote implements ConsensusService. It answers a candidate once the term
+// and the vote that the response reports are synced.
 func (s *service) RequestVote(ctx context.Context, request *connect.Request[pb.RequestVoteRequest]) (*connect.Response[pb.RequestVoteResponse], error) {
 	n := s.n
 	n.mu.Lock()
-	granted := n.considerVoteLocked(request.Msg)
-	term, op := n.term, n.hardOp
+	granted := n.decideVoteLocked(request.Msg)
+	term, op := n.term, n.hardStateOp
 	n.mu.Unlock()
 	if err := n.awaitDisk(ctx, op); err != nil {
 		return nil, toWire(err)
@@ -248,33 +261,38 @@
 	return connect.NewResponse(&pb.RequestVoteResponse{Term: term, Granted: granted}), nil
 }
 
-func (n *Node) considerVoteLocked(r *pb.RequestVoteRequest) bool {
-	if !n.canVoteLocked() || n.heardLeaderLocked() || r.Term < n.term {
+// decideVoteLocked reports whether this host grants a vote or pre-vote. For a
+// vote it adopts a higher term and records the vote that it grants; the caller
+// waits for n.hardStateOp before it answers. A pre-vote changes nothing.
+func (n *Node) decideVoteLocked(r *pb.RequestVoteRequest) bool {
+	if !n.canVoteLocked() || n.leaderMayHoldLeaseLocked() || r.Term < n.term {
 		return false
 	}
 	if r.PreVote {
-		return n.logAllowsLocked(r) && (r.Term > n.term || n.voteFreeLocked(r.Candidate))
+		return n.candidateUpToDateLocked(r) && (r.Term > n.term || n.mayVoteForLocked(r.Candidate))
 	}
 	if r.Term > n.term {
-		n.followTermLocked(r.Term, "")
+		n.adoptTermLocked(r.Term, "")
 	}
-	if !n.logAllowsLocked(r) || !n.voteFreeLocked(r.Candidate) {
+	if !n.candidateUpToDateLocked(r) || !n.mayVoteForLocked(r.Candidate) {
 		return false
 	}
-	n.resetElectionLocked()
+	n.resetElectionTimeoutLocked()
 	if n.votedFor != r.Candidate {
 		n.setHardStateLocked(n.term, r.Candidate)
 	}
 	return true
 }
 
-func (n *Node) voteFreeLocked(candidate string) bool {
+func (n *Node) mayVoteForLocked(candidate string) bool {
 	return n.votedFor == "" || n.votedFor == candidate
 }
 
-// logAllowsLocked compares the candidate's log with this host's.
-func (n *Node) logAllowsLocked(r *pb.RequestVoteRequest) bool {
-	if n.formingLocked() {
+// candidateUpToDateLocked reports whether the candidate's log is at least as
+// up to date as this host's: a higher last term wins, then a higher last index.
+// If this host's log is empty, see formationIndex.
+func (n *Node) candidateUpToDateLocked(r *pb.RequestVoteRequest) bool {
+	if n.logEmptyLocked() {
 		return r.LastIndex <= formationIndex
 	}
 	if r.LastTerm != n.log.lastTerm() {
--- a/consensus/entries.go
+++ b/consensus/entries.go
@@ -6,8 +6,9 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// entryLog is the part of the log in memory: the entries after base. Entries
-// are never changed once they are in the log.
+// entryLog is the part of the log that is held in memory: the entries after
+// baseIndex. An entry is never changed once it is in the log. The base fields
+// describe the last entry that was compacted into a snapshot.
 type entryLog struct {
 	baseIndex   uint64
 	baseTerm    uint64
@@ -31,10 +32,10 @@
 	if index < l.baseIndex || index > l.lastIndex() {
 		return 0, false
 	}
-	return l.at(index).Term, true
+	return l.entryAt(index).Term, true
 }
 
-func (l *entryLog) at(index uint64) *pb.Entry { return l.entries[index-l.baseIndex-1] }
+func (l *entryLog) entryAt(index uint64) *pb.Entry { return l.entries[index-l.baseIndex-1] }
 
 func (l *entryLog) append(e *pb.Entry) { l.entries = append(l.entries, e) }
 
@@ -45,8 +46,9 @@
 	l.entries = append([]*pb.Entry(nil), kept...)
 }
 
-// from returns up to maxBatchEntries entries starting at index.
-func (l *entryLog) from(index uint64) []*pb.Entry {
+// batchFrom returns the entries that start at index, limited to maxBatchEntries
+// and, from the second entry on, to maxBatchBytes.
+func (l *entryLog) batchFrom(index uint64) []*pb.Entry {
 	if index > l.lastIndex() {
 		return nil
 	}
@@ -61,11 +63,11 @@
 	return rest[:len(rest):len(rest)]
 }
 
-// firstOfTerm returns the lowest index in memory whose entry has the same term
-// as the entry at index.
+// firstOfTerm returns the index of the first entry in memory that has the same
+// term as the entry at index.
 func (l *entryLog) firstOfTerm(index uint64) uint64 {
 	term, _ := l.term(index)
-	for index > l.baseIndex+1 && l.at(index-1).Term == term {
+	for index > l.baseIndex+1 && l.entryAt(index-1).Term == term {
 		index--
 	}
 	return index
@@ -75,7 +77,7 @@
 // entry that set it.
 func (l *entryLog) membersAt(index uint64) (*pb.Membership, uint64) {
 	for i := index; i > l.baseIndex; i-- {
-		if m := l.at(i).GetMembership(); m != nil {
+		if m := l.entryAt(i).GetMembership(); m != nil {
 			return m, i
 		}
 	}
@@ -93,8 +95,8 @@
 	l.baseIndex, l.baseTerm, l.baseMembers = index, term, members
 }
 
-// reset replaces the log by a snapshot. Entries after the snapshot stay if the
-// log holds the snapshot's last entry. It reports whether they stayed.
+// reset makes a snapshot the base of the log. Entries after the snapshot are kept
+// if the log holds the snapshot's last entry. It reports whether they were kept.
 func (l *entryLog) reset(meta *pb.SnapshotMeta) bool {
 	if term, ok := l.term(meta.Index); ok && term == meta.Term {
 		l.compact(meta.Index)
--- a/consensus/failover_test.go
+++ b/consensus/failover_test.go
@@ -13,44 +13,46 @@
 	"lovageslip/fault"
 )
 
-func shortly() (context.Context, context.CancelFunc) {
+// shortContext limits a call that should not take long.
+func shortContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), 5*time.Second)
 }
 
-// refusesAll checks that h gives definite refusals.
-func (h *host) refusesAll() {
+// checkRefusesRequests checks that h refuses reads and changes as not run.
+func (h *host) checkRefusesRequests() {
 	h.t.Helper()
-	ctx, cancel := shortly()
+	ctx, cancel := shortContext()
 	defer cancel()
 	var notRun *fault.NotRun
 	_, err := h.node.ReadIndex(ctx)
 	assert.Check(h.t, errors.As(err, &notRun), "read: %v", err)
-	_, err = h.node.Propose(ctx, number(99))
+	_, err = h.node.Propose(ctx, encodeNumber(99))
 	assert.Check(h.t, errors.As(err, &notRun), "change: %v", err)
 }
 
-// Guards against a leader that is cut off while it leads and goes on answering
-// from its own state after others have moved on.
-func TestLeaderCutOffWhileItLeadsAnswersNothing(t *testing.T) {
+// Guards against a partitioned leader that goes on answering from its own state
+// after the other hosts have elected a leader and committed a change.
+func TestPartitionedLeaderRefusesRequests(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	old := c.leader()
-	old.propose(1)
+	oldLeader := c.awaitLeader()
+	oldLeader.propose(1)
 	done := make(chan struct{})
 	var watch sync.WaitGroup
-	watch.Go(func() { neverTwoLeaders(t, c, done) })
-	c.isolate(old, true)
-	fresh := c.leader(c.others(old)...)
-	fresh.propose(2)
-	old.refusesAll()
+	watch.Go(func() { checkSingleLeader(t, c, done) })
+	c.isolate(oldLeader, true)
+	newLeader := c.awaitLeader(c.others(oldLeader)...)
+	newLeader.propose(2)
+	oldLeader.checkRefusesRequests()
 	close(done)
 	watch.Wait()
-	c.isolate(old, false)
-	old.readsBack(2)
+	c.isolate(oldLeader, false)
+	oldLeader.awaitRead(2)
 }
 
-// neverTwoLeaders samples all hosts. Leadership is asked of one host between
-// two questions to another, so two leases that overlap are seen as such.
-func neverTwoLeaders(t *testing.T, c *cluster, done <-chan struct{}) {
+// checkSingleLeader checks all pairs of hosts until done is closed. It asks y
+// between two questions to x: if x leads before and after and y leads in between,
+// their leases overlap.
+func checkSingleLeader(t *testing.T, c *cluster, done <-chan struct{}) {
 	for {
 		for _, x := range c.hosts {
 			for _, y := range c.others(x) {
@@ -68,90 +70,91 @@
 	}
 }
 
-// Guards against a leader that followers still hear but that hears no answers:
-// it would lead for ever without a lease.
-func TestLeaderThatHearsNoAnswersIsReplaced(t *testing.T) {
+// Guards against a leader that keeps its role without a lease, because its
+// heartbeats still reach the followers and only their responses are lost.
+func TestLeaderWithoutResponsesIsReplaced(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	old := c.leader()
-	for _, h := range c.others(old) {
-		old.link.set(old.link.deaf, h.address, true)
+	oldLeader := c.awaitLeader()
+	for _, h := range c.others(oldLeader) {
+		oldLeader.link.set(oldLeader.link.dropResponses, h.address, true)
 	}
-	fresh := c.leader(c.others(old)...)
-	fresh.propose(3)
+	newLeader := c.awaitLeader(c.others(oldLeader)...)
+	newLeader.propose(3)
 }
 
-// Guards against a host that returns from a cut with a higher term and makes a
-// working leader step down.
-func TestReturningHostDoesNotDisturbTheLeader(t *testing.T) {
+// Guards against a host that raises its term during a partition and makes a
+// working leader step down when it returns.
+func TestReturningHostDoesNotDeposeLeader(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	leader := c.leader()
+	leader := c.awaitLeader()
 	term, _ := leader.node.Leadership()
-	away := c.others(leader)[0]
-	c.isolate(away, true)
-	waitFor(t, "the lonely host to give up its leader", func() bool {
-		away.node.mu.Lock()
-		defer away.node.mu.Unlock()
-		return bootclock.Since(away.node.heardAt) > 2*electionTimeoutMax
+	isolated := c.others(leader)[0]
+	c.isolate(isolated, true)
+	waitFor(t, "the isolated host to lose contact with the leader", func() bool {
+		isolated.node.mu.Lock()
+		defer isolated.node.mu.Unlock()
+		return bootclock.Since(isolated.node.leaderContactAt) > 2*electionTimeoutMax
 	})
-	c.isolate(away, false)
+	c.isolate(isolated, false)
 	leader.propose(5)
-	away.readsBack(5)
+	isolated.awaitRead(5)
 	after, ok := leader.node.Leadership()
 	assert.Check(t, ok && after == term, "term went from %d to %d", term, after)
 }
 
-// Guards against a proposal whose leader is lost being reported as not run.
-func TestLostAnswerOfTheLeaderIsAnUnknownOutcome(t *testing.T) {
+// Guards against a forwarded proposal that is reported as not run although the
+// leader may have committed it, when the response is late or the connection breaks.
+func TestLostLeaderResponseIsOutcomeUnknown(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	leader := c.leader()
+	leader := c.awaitLeader()
 	follower := c.others(leader)[0]
-	follower.readsBack(0)
-	losses := []map[string]bool{follower.link.deaf, follower.link.reset}
+	follower.awaitRead(0)
+	losses := []map[string]bool{follower.link.dropResponses, follower.link.breakConnections}
 	for i, loss := range losses {
 		follower.link.set(loss, leader.address, true)
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 		defer cancel()
-		_, err := follower.node.Propose(ctx, number(uint64(i)))
+		_, err := follower.node.Propose(ctx, encodeNumber(uint64(i)))
 		var outcome *fault.OutcomeUnknown
 		assert.Check(t, errors.As(err, &outcome), "%v", err)
 		follower.link.set(loss, leader.address, false)
-		leader.readsBack(uint64(i))
+		leader.awaitRead(uint64(i))
 	}
 }
 
-// Guards against a vote within the lease that this host's answer renewed
-// before it restarted.
+// Guards against a restarted host that votes while the lease of a leader, which it
+// may have renewed before the restart, is still valid.
 func TestRestartedHostDoesNotVoteWithinALease(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	leader := c.leader()
+	leader := c.awaitLeader()
 	leader.propose(1)
 	follower := c.others(leader)[0]
 	follower.stop()
 	for _, h := range c.hosts {
-		h.link.set(h.link.cut, follower.address, true)
+		h.link.set(h.link.dropRequests, follower.address, true)
 	}
 	follower.start()
 	n := follower.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	assert.Check(t, n.heardLeaderLocked())
+	assert.Check(t, n.leaderMayHoldLeaseLocked())
 }
 
-// Guards against a cluster that loses entries, counts or members over restarts
-// with snapshots, and against a log that is never truncated.
+// Guards against a cluster that loses writes or members when its hosts restart
+// from snapshots, and against a log that is never compacted.
 func TestRestartAfterManyEntries(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	away := c.others(c.leader())[0]
-	away.stop()
+	stopped := c.others(c.awaitLeader())[0]
+	stopped.stop()
 	const total = 2600
-	proposeMany(t, c.leader(), total)
-	last := c.leader()
-	last.propose(42)
-	last.node.mu.Lock()
-	assert.Check(t, last.node.log.baseIndex >= 1000, "log starts at %d", last.node.log.baseIndex)
-	last.node.mu.Unlock()
-	away.start()
-	away.readsBack(42)
+	proposeMany(t, c.awaitLeader(), total)
+	lastLeader := c.awaitLeader()
+	lastLeader.propose(42)
+	lastLeader.node.mu.Lock()
+	assert.Check(t, lastLeader.node.log.baseIndex >= 1000, "log starts at %d", lastLeader.node.log.baseIndex)
+	lastLeader.node.mu.Unlock()
+	stopped.start()
+	stopped.awaitRead(42)
 	for _, h := range c.hosts {
 		h.stop()
 	}
@@ -159,21 +162,22 @@
 		h.start()
 	}
 	for _, h := range c.hosts {
-		h.readsBack(42)
+		h.awaitRead(42)
 		_, writes := h.state.read()
 		assert.Equal(t, writes, uint64(total+1))
 		assert.Check(t, h.node.log.baseIndex >= 2000, "log starts at %d", h.node.log.baseIndex)
 	}
 }
 
+// proposeMany makes total proposals through h, 50 at a time.
 func proposeMany(t testing.TB, h *host, total int) {
 	const workers = 50
 	var group sync.WaitGroup
 	for range workers {
 		group.Go(func() {
 			for range total / workers {
-				ctx, cancel := context.WithTimeout(context.Background(), patience)
-				_, err := h.node.Propose(ctx, number(1))
+				ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+				_, err := h.node.Propose(ctx, encodeNumber(1))
 				cancel()
 				assert.Check(t, err)
 			}
--- a/consensus/formation_test.go
+++ b/consensus/formation_test.go
@@ -8,8 +8,9 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// Guards against entries that don't continue the snapshot being taken for its
-// continuation after a crash while the snapshot was installed.
+// Guards against a host that crashed while it installed a snapshot and then, on
+// recovery, takes log entries that don't continue the snapshot for ones that do.
+// In the cases, kept is how many entries must remain after the snapshot.
 func TestRecoveryJoinsLogAndSnapshot(t *testing.T) {
 	for _, test := range []struct {
 		snapshot, snapshotTerm, first, last uint64
@@ -24,7 +25,7 @@
 		{snapshot: 3, snapshotTerm: 2, first: 5, last: 6, refused: true},
 		{snapshot: 0, first: 2, last: 5, refused: true},
 	} {
-		r := &recovered{meta: &pb.SnapshotMeta{Index: test.snapshot, Term: test.snapshotTerm}}
+		r := &recoveredState{snapshotMeta: &pb.SnapshotMeta{Index: test.snapshot, Term: test.snapshotTerm}}
 		for i := test.first; i <= test.last; i++ {
 			assert.NilError(t, r.replay(entryRecord(&pb.Entry{Index: i, Term: 1})))
 		}
@@ -36,12 +37,13 @@
 	}
 }
 
-// Guards against a wiped host, whose log is empty as that of a new one, that
-// votes for a candidate that lacks what this host had acknowledged.
+// Guards against a wiped host that votes for a candidate without the entries that
+// the host had acknowledged. Its log is empty like that of a new host, so it may
+// vote only for a candidate that is forming a cluster.
 func TestEmptyHostVotesOnlyToFormACluster(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	c.leader().propose(1)
-	wiped := c.others(c.leader())[0]
+	c.awaitLeader().propose(1)
+	wiped := c.others(c.awaitLeader())[0]
 	wiped.stop()
 	wiped.wipe()
 	c.isolate(wiped, true)
@@ -52,14 +54,14 @@
 	for _, pre := range []bool{true, false} {
 		r := &pb.RequestVoteRequest{Term: 50, Candidate: "x", LastTerm: 1, PreVote: pre}
 		r.LastIndex = formationIndex + 1
-		assert.Check(t, !n.considerVoteLocked(r))
+		assert.Check(t, !n.decideVoteLocked(r))
 		r.LastIndex = formationIndex
-		assert.Check(t, n.considerVoteLocked(r))
+		assert.Check(t, n.decideVoteLocked(r))
 	}
 }
 
-// Guards against a candidate with an empty or nearly empty log that needs only
-// a majority, which a wiped host may be part of.
+// Guards against a candidate that wins with the votes of a majority while its log
+// holds at most the first membership. The majority could include a wiped host.
 func TestFormationNeedsAllMembers(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	n := c.hosts[0].node
@@ -67,17 +69,17 @@
 	defer n.mu.Unlock()
 	full := n.log
 	n.log.entries = full.entries[:min(formationIndex, len(full.entries))]
-	assert.Equal(t, n.ballotLocked(9, true).needed, 3)
+	assert.Equal(t, n.voteRoundLocked(9, true).needed, 3)
 	n.log = full
 }
 
-// Guards against a cluster that can't form after its first leader crashed
-// between logging the first membership and replicating it.
-func TestFormationGoesOnAfterACrash(t *testing.T) {
-	c := plannedCluster(t, "a", "b", "c")
+// Guards against a cluster that can't form after its first leader crashed when
+// only its own disk held the first membership.
+func TestFormationContinuesAfterCrash(t *testing.T) {
+	c := newStoppedCluster(t, "a", "b", "c")
 	for _, h := range c.hosts {
 		fs := &faultyFS{}
-		fs.noEntries.Store(h.options.Name != "a")
+		fs.failEntryWrites.Store(h.options.Name != "a")
 		h.options.FS = fs
 		h.start()
 	}
@@ -93,5 +95,5 @@
 	for i, h := range c.hosts {
 		h.propose(uint64(i))
 	}
-	assert.Equal(t, c.host("b").node.log.at(formationIndex).Term, uint64(1))
+	assert.Equal(t, c.host("b").node.log.entryAt(formationIndex).Term, uint64(1))
 }
--- a/consensus/freeze_test.go
+++ b/consensus/freeze_test.go
@@ -16,11 +16,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// childVariable holds the settings of a member that runs in its own process.
-const childVariable = "CONSENSUS_TEST_CHILD"
+// childEnv is the environment variable that makes the test binary run as a member.
+// It holds the member's childSettings as JSON.
+const childEnv = "CONSENSUS_TEST_CHILD"
 
 func TestMain(m *testing.M) {
-	if settings := os.Getenv(childVariable); settings != "" {
+	if settings := os.Getenv(childEnv); settings != "" {
 		runChild(settings)
 		return
 	}
@@ -32,16 +33,16 @@
 	Members                []Member
 }
 
-// runChild serves a member and a small interface for the test until its
-// standard input closes, so that it never outlives the test.
+// runChild runs a member and a small HTTP interface for the test. It ends when its
+// standard input closes, so that it doesn't outlive the test process.
 func runChild(encoded string) {
-	var s childSettings
-	if err := json.Unmarshal([]byte(encoded), &s); err != nil {
+	var settings childSettings
+	if err := json.Unmarshal([]byte(encoded), &settings); err != nil {
 		panic(err)
 	}
 	state := &register{}
 	node, err := Start(context.Background(), Options{
-		Name: s.Name, Address: s.Address, DataDir: s.DataDir, InitialMembers: s.Members, StateMachine: state,
+		Name: settings.Name, Address: settings.Address, DataDir: settings.DataDir, InitialMembers: settings.Members, StateMachine: state,
 	})
 	if err != nil {
 		panic(err)
@@ -64,14 +65,14 @@
 	})
 	mux.HandleFunc("/write", func(w http.ResponseWriter, r *http.Request) {
 		value, _ := strconv.ParseUint(r.FormValue("value"), 10, 64)
-		if _, err := node.Propose(r.Context(), number(value)); err != nil {
+		if _, err := node.Propose(r.Context(), encodeNumber(value)); err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		}
 	})
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
-	server := &http.Server{Addr: s.Address, Handler: mux, Protocols: protocols}
+	server := &http.Server{Addr: settings.Address, Handler: mux, Protocols: protocols}
 	go server.ListenAndServe()
 	io.Copy(io.Discard, os.Stdin)
 }
@@ -84,9 +85,9 @@
 
 func startChildren(t *testing.T) []*child {
 	var children []*child
-	for _, h := range plannedCluster(t, "a", "b", "c").hosts {
-		s := childSettings{h.options.Name, h.address, h.options.DataDir, h.options.InitialMembers}
-		c := &child{settings: s, address: s.Address}
+	for _, h := range newStoppedCluster(t, "a", "b", "c").hosts {
+		settings := childSettings{h.options.Name, h.address, h.options.DataDir, h.options.InitialMembers}
+		c := &child{settings: settings, address: settings.Address}
 		c.start(t)
 		children = append(children, c)
 	}
@@ -97,7 +98,7 @@
 	encoded, err := json.Marshal(c.settings)
 	assert.NilError(t, err)
 	command := exec.Command(os.Args[0], "-test.run=^$")
-	command.Env = append(os.Environ(), childVariable+"="+string(encoded))
+	command.Env = append(os.Environ(), childEnv+"="+string(encoded))
 	command.Stderr = os.Stderr
 	_, err = command.StdinPipe()
 	assert.NilError(t, err)
@@ -109,13 +110,13 @@
 	})
 }
 
-// Guards against acknowledged changes that were only in memory when all
-// processes were killed at once.
+// Guards against the loss of changes that were acknowledged while they were only
+// in memory, when all processes are killed at once.
 func TestKilledProcessesLoseNothing(t *testing.T) {
 	children := startChildren(t)
 	for round := range 4 {
 		value := strconv.Itoa(round + 1)
-		write(t, children[round%len(children)], value)
+		awaitWrite(t, children[round%len(children)], value)
 		for _, c := range children {
 			assert.NilError(t, c.command.Process.Kill())
 		}
@@ -124,7 +125,7 @@
 			c.start(t)
 		}
 		waitFor(t, "a read", func() bool {
-			body, ok := children[0].ok("/read")
+			body, ok := children[0].getOK("/read")
 			assert.Check(t, !ok || body == value, "read %q, want %s", body, value)
 			return ok
 		})
@@ -145,19 +146,19 @@
 	return response.StatusCode, string(body), err
 }
 
-func (c *child) ok(path string) (string, bool) {
-	ctx, cancel := shortly()
+func (c *child) getOK(path string) (string, bool) {
+	ctx, cancel := shortContext()
 	defer cancel()
 	status, body, err := c.get(ctx, path)
 	return body, err == nil && status == http.StatusOK
 }
 
-func leadingChild(t *testing.T, children []*child) int {
+func awaitLeadingChild(t *testing.T, children []*child) int {
 	t.Helper()
 	found := -1
-	waitFor(t, "a leading process", func() bool {
+	waitFor(t, "a process to lead", func() bool {
 		for i, c := range children {
-			if body, ok := c.ok("/leading"); ok && body == "true" {
+			if body, ok := c.getOK("/leading"); ok && body == "true" {
 				found = i
 				return true
 			}
@@ -167,45 +168,46 @@
 	return found
 }
 
-// Guards against a leader that was frozen while it led and answers, when it
-// continues, the requests that wait in its sockets from its old state.
-func TestFrozenLeaderAnswersNothingOld(t *testing.T) {
+// Guards against stale reads from a leader whose process was stopped (SIGSTOP) and
+// continues after another leader was elected. Requests that waited in its sockets
+// must not be answered from its old state.
+func TestFrozenLeaderServesNoStaleReads(t *testing.T) {
 	children := startChildren(t)
-	old := leadingChild(t, children)
-	frozen := children[old]
-	write(t, frozen, "1")
+	oldLeader := awaitLeadingChild(t, children)
+	frozen := children[oldLeader]
+	awaitWrite(t, frozen, "1")
 	assert.NilError(t, frozen.command.Process.Signal(syscall.SIGSTOP))
-	rest := append(append([]*child(nil), children[:old]...), children[old+1:]...)
-	fresh := rest[leadingChild(t, rest)]
-	write(t, fresh, "2")
+	others := append(append([]*child(nil), children[:oldLeader]...), children[oldLeader+1:]...)
+	newLeader := others[awaitLeadingChild(t, others)]
+	awaitWrite(t, newLeader, "2")
 
 	answer := readWhileFrozen(t, frozen)
 	assert.NilError(t, frozen.command.Process.Signal(syscall.SIGCONT))
 	body := <-answer
 	assert.Check(t, body == "2" || body == "", "old value %q", body)
 	waitFor(t, "the new value", func() bool {
-		body, ok := frozen.ok("/read")
+		body, ok := frozen.getOK("/read")
 		assert.Check(t, !ok || body == "2", "old value %q", body)
 		return ok
 	})
 }
 
-func write(t *testing.T, c *child, value string) {
+func awaitWrite(t *testing.T, c *child, value string) {
 	t.Helper()
-	waitFor(t, "a write", func() bool {
-		_, ok := c.ok("/write?value=" + value)
+	waitFor(t, "a write to succeed", func() bool {
+		_, ok := c.getOK("/write?value=" + value)
 		return ok
 	})
 }
 
-// readWhileFrozen returns once a read waits in a socket of c. The channel
-// delivers its answer, empty for a refusal.
+// readWhileFrozen returns once it has written a read request to the stopped process
+// c. The channel delivers the body of the response, or "" if the read fails.
 func readWhileFrozen(t *testing.T, c *child) <-chan string {
 	sent := make(chan struct{})
 	answer := make(chan string, 1)
 	go func() {
 		trace := &httptrace.ClientTrace{WroteRequest: func(httptrace.WroteRequestInfo) { close(sent) }}
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		status, body, err := c.get(httptrace.WithClientTrace(ctx, trace), "/read")
 		if err != nil || status != http.StatusOK {
--- a/consensus/members.go
+++ b/consensus/members.go
@@ -10,9 +10,10 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// membersChangedLocked takes over the latest membership in the log. It is in
-// force from the moment it is logged, before it is committed.
-func (n *Node) membersChangedLocked() {
+// reloadMembersLocked makes the latest membership in the log the one in force. A
+// membership is in force as soon as its entry is in the log, before it is
+// committed.
+func (n *Node) reloadMembersLocked() {
 	members, index := n.log.membersAt(n.log.lastIndex())
 	if members == nil {
 		members = n.initialMembership()
@@ -31,15 +32,16 @@
 	return members
 }
 
-// membersCommittedLocked follows the commit of a membership entry. A removed
-// peer is kept until then, and a removed leader leads until then.
+// membersCommittedLocked runs on the leader when a membership entry has been
+// committed. Until then, the leader goes on replicating to a removed member and
+// goes on leading if it was removed itself, so that the removal gets committed.
 func (n *Node) membersCommittedLocked() {
-	if n.role != roleLeader || n.membersIndex > n.commit {
+	if n.role != roleLeader || n.membersIndex > n.commitIndex {
 		return
 	}
 	n.dropPeersLocked()
 	if self := findMember(n.members, n.options.Name); self == nil {
-		n.followLocked("")
+		n.becomeFollowerLocked("")
 	}
 }
 
@@ -49,34 +51,36 @@
 	return n.appendWithWaiterLocked(e)
 }
 
-// changeAllowedLocked: members change one at a time, and only after the leader
-// has committed an entry of its own term.
-func (n *Node) changeAllowedLocked(name string) error {
-	if err := n.leadingLocked(); err != nil {
+// checkChangeLocked returns nil if the membership may change now: changes happen
+// one at a time, and only after the leader has committed an entry of its own
+// term.
+func (n *Node) checkChangeLocked(name string) error {
+	if err := n.checkLeadingLocked(); err != nil {
 		return err
 	}
-	if n.membersIndex > n.commit {
+	if n.membersIndex > n.commitIndex {
 		return &ChangeRefused{Member: name, Detail: "another change is in progress"}
 	}
 	return nil
 }
 
-// promoteLocked makes one member that has caught up a voter.
+// promoteLocked makes one member a voter that has caught up to within
+// promoteMaxLag entries and has answered within leaseDuration.
 func (n *Node) promoteLocked() {
 	for _, m := range n.members.Members {
-		p := n.lead.peers[m.Name]
-		if m.Voter || p == nil || p.match+promoteLag < n.commit || p.match == 0 {
+		p := n.leadership.peers[m.Name]
+		if m.Voter || p == nil || p.matchIndex+promoteMaxLag < n.commitIndex || p.matchIndex == 0 {
 			continue
 		}
-		if p.incarnation != m.Incarnation || bootclock.Since(p.ackedAt) > leaseDuration {
+		if p.incarnation != m.Incarnation || bootclock.Since(p.ackedSendTime) > leaseDuration {
 			continue
 		}
-		if n.changeAllowedLocked(m.Name) != nil {
+		if n.checkChangeLocked(m.Name) != nil {
 			return
 		}
 		members := proto.Clone(n.members).(*pb.Membership)
 		findMember(members, m.Name).Voter = true
-		n.logger.Info("member has caught up and becomes a voter", "peer", m.Name)
+		n.logger.Info("leader makes a member that has caught up a voter", "peer", m.Name)
 		n.appendMembershipLocked(members)
 		return
 	}
@@ -97,28 +101,30 @@
 	return members
 }
 
-// addLocal adds a member that must be reachable, because the entry holds the
-// incarnation of its data folder. It returns once the entry is committed; the
-// member becomes a voter when it has caught up.
+// addLocal adds a member if this host leads. The new member must be reachable,
+// because the membership entry records the incarnation of its data folder. The
+// call returns once the entry is committed and applied; the member becomes a
+// voter when it has caught up.
 func (n *Node) addLocal(ctx context.Context, name, address string) error {
 	if err := checkMember(name, address); err != nil {
 		return err
 	}
-	incarnation, err := n.probe(ctx, name, address)
+	incarnation, err := n.probeIncarnation(ctx, name, address)
 	if err != nil {
 		return err
 	}
-	w, err := n.logAddition(&pb.Member{Name: name, Address: address, Incarnation: incarnation})
+	w, err := n.appendAddition(&pb.Member{Name: name, Address: address, Incarnation: incarnation})
 	if err != nil || w == nil {
 		return err
 	}
 	return n.awaitChange(ctx, w)
 }
 
-// probe sends a heartbeat to a host that is not yet a member.
-func (n *Node) probe(ctx context.Context, name, address string) (string, error) {
+// probeIncarnation returns the incarnation of a host that is not yet a member. It
+// sends a heartbeat, since the response to one holds the incarnation.
+func (n *Node) probeIncarnation(ctx context.Context, name, address string) (string, error) {
 	n.mu.Lock()
-	err := n.leadingLocked()
+	err := n.checkLeadingLocked()
 	client := n.clientLocked(address)
 	request := &pb.AppendEntriesRequest{Term: n.term, Leader: n.options.Name}
 	n.mu.Unlock()
@@ -134,11 +140,12 @@
 	return response.Msg.Incarnation, nil
 }
 
-// logAddition returns nil if the member is already there.
-func (n *Node) logAddition(m *pb.Member) (*waiter, error) {
+// appendAddition appends a membership with one more member. It returns a nil
+// waiter if the member is already there.
+func (n *Node) appendAddition(m *pb.Member) (*waiter, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.changeAllowedLocked(m.Name); err != nil {
+	if err := n.checkChangeLocked(m.Name); err != nil {
 		return nil, err
 	}
 	for _, other := range n.members.Members {
@@ -154,24 +161,26 @@
 	}
 	members := proto.Clone(n.members).(*pb.Membership)
 	members.Members = append(members.Members, m)
-	n.logger.Info("adding a member", "peer", m.Name)
+	n.logger.Info("leader adds a member", "peer", m.Name)
 	return n.appendMembershipLocked(members), nil
 }
 
-// removeLocal removes a member. Removing an absent member succeeds, so that a
-// repeated request gets the same answer.
+// removeLocal removes a member if this host leads. Removing an absent member
+// succeeds, which makes the call idempotent.
 func (n *Node) removeLocal(ctx context.Context, name string) error {
-	w, err := n.logRemoval(name)
+	w, err := n.appendRemoval(name)
 	if err != nil || w == nil {
 		return err
 	}
 	return n.awaitChange(ctx, w)
 }
 
-func (n *Node) logRemoval(name string) (*waiter, error) {
+// appendRemoval appends a membership without one member. It returns a nil waiter
+// if there is no such member.
+func (n *Node) appendRemoval(name string) (*waiter, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.changeAllowedLocked(name); err != nil {
+	if err := n.checkChangeLocked(name); err != nil {
 		return nil, err
 	}
 	m := findMember(n.members, name)
@@ -187,7 +196,7 @@
 			members.Members = append(members.Members, other)
 		}
 	}
-	n.logger.Info("removing a member", "peer", name)
+	n.logger.Info("leader removes a member", "peer", name)
 	return n.appendMembershipLocked(members), nil
 }
 
@@ -196,9 +205,9 @@
 	case o := <-w.done:
 		return o.err
 	case <-ctx.Done():
-		return unknown("change not committed in time", context.Cause(ctx))
+		return outcomeUnknown("change not committed in time", context.Cause(ctx))
 	case <-n.ctx.Done():
-		return unknown("this host is stopping", nil)
+		return outcomeUnknown("this host is stopping", nil)
 	}
 }
 
@@ -231,7 +240,7 @@
 	return found
 }
 
-func firstName(members *pb.Membership) string {
+func lowestName(members *pb.Membership) string {
 	first := ""
 	for _, m := range members.GetMembers() {
 		if first == "" || m.Name < first {
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -21,26 +21,26 @@
 	"lovageslip/wal"
 )
 
-// Member is a host of the cluster.
+// Member is a control host that belongs to the cluster.
 type Member struct {
 	Name string
 	// Address is host:port of the host's HTTP server.
 	Address string
 	Voter   bool
-	// Incarnation names the data folder of the host.
+	// Incarnation is the random identifier of the host's data folder.
 	Incarnation string
 }
 
-// Options configure a Node.
+// Options are the arguments of Start, which configure a Node.
 type Options struct {
 	// Name and Address are those of this host.
 	Name, Address string
-	// DataDir is the data folder. It belongs to one process at a time.
+	// DataDir is the data folder. Only one process at a time can open it.
 	DataDir string
-	// InitialMembers form a new cluster. The list must be the same on all of
-	// them, and all of them must be up until the cluster has formed. It is
-	// ignored once the data folder holds a log. It is empty on a host that
-	// waits to be added to an existing cluster.
+	// InitialMembers are the hosts that form a new cluster. All of them must
+	// be given the same list, and all must be up until the cluster has formed.
+	// The list is ignored once the data folder holds a log. It is empty on a
+	// host that waits to be added to an existing cluster.
 	InitialMembers []Member
 	StateMachine   StateMachine
 	// HTTPClient is for calls to other members; it defaults to HTTP/2
@@ -48,7 +48,8 @@
 	HTTPClient connect.HTTPClient
 	// Scheme is http, the default, or https.
 	Scheme string
-	// FS is for tests that inject disk failures; it defaults to wal.OS.
+	// FS is the file system; it defaults to wal.OS. Tests replace it to
+	// inject disk failures.
 	FS      wal.FS
 	Log     *slog.Logger
 	Metrics tally.Scope
@@ -65,21 +66,21 @@
 // Node is a member of the cluster. It implements Log and is safe for
 // concurrent use.
 type Node struct {
-	options     Options
-	incarnation string
-	folder      *wal.Folder
-	wal         *wal.Log // used by runDisk only
-	preamble    []wal.Record
-	logger      *slog.Logger
-	metrics     tally.Scope
-	httpClient  connect.HTTPClient
-	cancel      context.CancelFunc
-	ctx         context.Context
-	group       conc.WaitGroup
-	opsWake     chan struct{}
-	applyWake   chan struct{}
-	failedCh    chan struct{}
-	snapshots   sync.Mutex // held while snapshot files are read or written
+	options        Options
+	incarnation    string
+	folder         *wal.Folder
+	wal            *wal.Log     // used only by runDisk while the node runs
+	preamble       []wal.Record // first records of each segment of wal
+	logger         *slog.Logger
+	metrics        tally.Scope
+	httpClient     connect.HTTPClient
+	cancel         context.CancelFunc
+	ctx            context.Context
+	group          conc.WaitGroup
+	diskWake       chan struct{}
+	applyWake      chan struct{}
+	storageFailed  chan struct{}
+	snapshotFileMu sync.Mutex // held while a snapshot file is read or written
 
 	// mu guards all fields below.
 	mu       sync.Mutex
@@ -87,53 +88,56 @@
 	term     uint64
 	votedFor string
 	leader   string
-	// heardAt is when a leader was last heard, or when this host started.
-	heardAt time.Time
-	// electionAt is when this host campaigns if it hears from no leader.
-	electionAt time.Time
-	log        entryLog
-	commit     uint64
-	applied    uint64
-	durable    uint64 // last entry on this host's disk
-	snapIndex  uint64
-	appliedCh  chan struct{}
-	members    *pb.Membership
-	// membersIndex is the entry that set members.
-	membersIndex uint64
-	ops          []*diskOp
-	lastOp       *diskOp
-	hardOp       *diskOp
-	failed       error
-	closed       bool
-	restore      *restoreOp
-	lead         *leadership // nil unless leader
-	clients      map[string]lovageslipv1connect.ConsensusServiceClient
+	// leaderContactAt is when the last request of a leader arrived, or when
+	// this host started.
+	leaderContactAt time.Time
+	// electionDeadline is when this host campaigns unless a leader's request
+	// or a vote that it grants moves the time.
+	electionDeadline time.Time
+	log              entryLog
+	commitIndex      uint64
+	lastApplied      uint64
+	durableIndex     uint64 // last entry that is synced to this host's disk
+	snapshotIndex    uint64
+	appliedCh        chan struct{}
+	members          *pb.Membership
+	// membersIndex is the index of the entry that set members.
+	membersIndex   uint64
+	diskOps        []*diskOp // queued for runDisk
+	lastDiskOp     *diskOp   // the latest one queued
+	hardStateOp    *diskOp   // the latest one that wrote term and vote
+	storageErr     error
+	closed         bool
+	pendingRestore *restoreOp  // waits for runApply, or nil
+	leadership     *leadership // nil unless this host leads
+	clients        map[string]lovageslipv1connect.ConsensusServiceClient
 }
 
 var _ Log = (*Node)(nil)
 
-// Start recovers the state from the data folder and joins the cluster. The
-// caller then serves Handlers. The node stops when ctx ends or at Close.
-func Start(ctx context.Context, o Options) (*Node, error) {
-	if err := checkNames(o); err != nil {
+// Start recovers the state from the data folder and starts the node, which
+// stops when ctx ends or at Close. The caller serves the node's Handlers to the
+// other members.
+func Start(ctx context.Context, options Options) (*Node, error) {
+	if err := checkOptions(options); err != nil {
 		return nil, err
 	}
-	folder, err := wal.OpenFolder(wal.Options{Dir: o.DataDir, FS: o.FS, Log: o.Log})
+	folder, err := wal.OpenFolder(wal.Options{Dir: options.DataDir, FS: options.FS, Log: options.Log})
 	if err != nil {
 		return nil, err
 	}
-	n, err := start(ctx, o, folder)
+	n, err := start(ctx, options, folder)
 	if err != nil {
 		return nil, errors.Join(err, folder.Close())
 	}
 	return n, nil
 }
 
-func checkNames(o Options) error {
-	if err := checkMember(o.Name, o.Address); err != nil {
+func checkOptions(options Options) error {
+	if err := checkMember(options.Name, options.Address); err != nil {
 		return err
 	}
-	for _, m := range o.InitialMembers {
+	for _, m := range options.InitialMembers {
 		if err := checkMember(m.Name, m.Address); err != nil {
 			return err
 		}
@@ -152,7 +156,7 @@
 	return nil
 }
 
-func start(ctx context.Context, o Options, folder *wal.Folder) (*Node, error) {
+func start(ctx context.Context, options Options, folder *wal.Folder) (*Node, error) {
 	log, records, err := folder.OpenLog()
 	if err != nil {
 		return nil, err
@@ -161,8 +165,8 @@
 	if err != nil {
 		return nil, errors.Join(err, log.Close())
 	}
-	n := newNode(o, folder, log)
-	if err := n.load(state); err != nil {
+	n := newNode(options, folder, log)
+	if err := n.loadRecovered(state); err != nil {
 		return nil, errors.Join(err, log.Close())
 	}
 	n.ctx, n.cancel = context.WithCancel(ctx)
@@ -173,19 +177,19 @@
 	return n, nil
 }
 
-func newNode(o Options, folder *wal.Folder, log *wal.Log) *Node {
+func newNode(options Options, folder *wal.Folder, log *wal.Log) *Node {
 	n := &Node{
-		options:    o,
-		folder:     folder,
-		wal:        log,
-		logger:     logging.For(o.Log, "consensus").With("member", o.Name),
-		metrics:    metrics.OrNoop(o.Metrics).SubScope("consensus"),
-		httpClient: o.HTTPClient,
-		opsWake:    make(chan struct{}, 1),
-		applyWake:  make(chan struct{}, 1),
-		failedCh:   make(chan struct{}),
-		appliedCh:  make(chan struct{}),
-		clients:    make(map[string]lovageslipv1connect.ConsensusServiceClient),
+		options:       options,
+		folder:        folder,
+		wal:           log,
+		logger:        logging.For(options.Log, "consensus").With("member", options.Name),
+		metrics:       metrics.OrNoop(options.Metrics).SubScope("consensus"),
+		httpClient:    options.HTTPClient,
+		diskWake:      make(chan struct{}, 1),
+		applyWake:     make(chan struct{}, 1),
+		storageFailed: make(chan struct{}),
+		appliedCh:     make(chan struct{}),
+		clients:       make(map[string]lovageslipv1connect.ConsensusServiceClient),
 	}
 	if n.httpClient == nil {
 		n.httpClient = NewHTTPClient()
@@ -196,8 +200,9 @@
 	return n
 }
 
-// load takes over the recovered state.
-func (n *Node) load(state *recovered) error {
+// loadRecovered initialises the node from the recovered state. It first appends
+// the preamble to the write-ahead log, which on a new host stores the identity.
+func (n *Node) loadRecovered(state *recoveredState) error {
 	if state.identity == nil {
 		state.identity = &pb.Member{Name: n.options.Name, Incarnation: newIncarnation()}
 	}
@@ -208,36 +213,37 @@
 	n.preamble = []wal.Record{
 		{Kind: kindIdentity, Data: encode(state.identity)},
 		{Kind: kindHardState, Data: encode(state.hard)},
-		snapshotMark(state.meta.Index),
+		snapshotMark(state.snapshotMeta.Index),
 	}
 	if err := n.writePreamble(state); err != nil {
 		return err
 	}
 	if state.snapshot != nil {
 		if err := n.options.StateMachine.Restore(state.snapshot); err != nil {
-			return &BadLog{Detail: "snapshot refused by the state machine", Err: err}
+			return &UnusableLog{Detail: "snapshot refused by the state machine", Err: err}
 		}
 	}
 	n.term, n.votedFor = state.hard.Term, state.hard.VotedFor
 	n.log = state.entries
-	n.snapIndex = state.meta.Index
-	n.commit, n.applied = state.meta.Index, state.meta.Index
-	n.durable = n.log.lastIndex()
-	n.membersChangedLocked()
-	n.startTimersLocked()
+	n.snapshotIndex = state.snapshotMeta.Index
+	n.commitIndex, n.lastApplied = state.snapshotMeta.Index, state.snapshotMeta.Index
+	n.durableIndex = n.log.lastIndex()
+	n.reloadMembersLocked()
+	n.startElectionTimeoutLocked()
 	return nil
 }
 
-func (n *Node) writePreamble(state *recovered) error {
+func (n *Node) writePreamble(state *recoveredState) error {
 	records := n.preamble
-	if state.discarded {
-		reset := wal.Record{Kind: kindReset, Data: encode(state.meta)}
+	if state.entriesDiscarded {
+		reset := wal.Record{Kind: kindReset, Data: encode(state.snapshotMeta)}
 		records = append(records[:len(records):len(records)], reset)
 	}
 	return n.wal.Append(records)
 }
 
-// Close stops the node and releases the data folder. Calls in progress fail.
+// Close stops the node, waits for its goroutines and releases the data folder.
+// Calls in progress fail.
 func (n *Node) Close() error {
 	n.mu.Lock()
 	if n.closed {
@@ -245,27 +251,29 @@
 		return nil
 	}
 	n.closed = true
-	n.followLocked("")
+	n.becomeFollowerLocked("")
 	n.mu.Unlock()
 	n.cancel()
 	n.group.Wait()
 	return errors.Join(n.wal.Close(), n.folder.Close())
 }
 
-// goLocked starts a goroutine that Close waits for.
+// goLocked starts a goroutine that Close waits for. It does nothing on a closed
+// node.
 func (n *Node) goLocked(f func()) {
 	if !n.closed {
 		n.group.Go(f)
 	}
 }
 
-// Route is a handler and the path under which it is served.
+// Route is an HTTP handler and the path under which it is served.
 type Route struct {
 	Path    string
 	Handler http.Handler
 }
 
-// Handlers returns what the caller serves over HTTP/2 at Options.Address.
+// Handlers returns the handlers that the caller of Start serves over HTTP/2 at
+// Options.Address.
 func (n *Node) Handlers() []Route {
 	consensusPath, consensusHandler := lovageslipv1connect.NewConsensusServiceHandler(&service{n})
 	memberPath, memberHandler := lovageslipv1connect.NewMemberServiceHandler(&memberService{n})
@@ -275,5 +283,5 @@
 	}
 }
 
-// service answers the calls of other members.
+// service implements ConsensusService, which other members call.
 type service struct{ n *Node }
--- a/consensus/propose.go
+++ b/consensus/propose.go
@@ -25,7 +25,7 @@
 		}
 	}
 	var result []byte
-	err := n.withLeader(ctx, func() error {
+	err := n.retryUntilLeader(ctx, func() error {
 		var err error
 		result, _, err = n.proposeOnce(ctx, command)
 		return err
@@ -34,10 +34,11 @@
 	return result, err
 }
 
-// withLeader runs a call again while it fails for want of a leader. Such a
-// call was refused before it was logged, so the first try has no effect.
-func (n *Node) withLeader(ctx context.Context, call func() error) error {
-	deadline := time.Now().Add(leaderWait)
+// retryUntilLeader repeats a call, for up to leaderWaitMax, while it fails because
+// no leader can be reached. Such a call was refused before anything was appended
+// to the log, so it is safe to repeat.
+func (n *Node) retryUntilLeader(ctx context.Context, call func() error) error {
+	deadline := time.Now().Add(leaderWaitMax)
 	for {
 		err := call()
 		if !isNoLeader(err) || time.Now().After(deadline) {
@@ -50,8 +51,10 @@
 	}
 }
 
-func (n *Node) countOutcome(what string, err error) {
-	n.metrics.Tagged(map[string]string{"outcome": outcomeName(err)}).Counter(what + "_total").Inc(1)
+// countOutcome counts a finished operation under its outcome: ok, the reason of
+// the error, or invalid.
+func (n *Node) countOutcome(operation string, err error) {
+	n.metrics.Tagged(map[string]string{"outcome": outcomeName(err)}).Counter(operation + "_total").Inc(1)
 }
 
 func outcomeName(err error) string {
@@ -67,6 +70,8 @@
 	}
 }
 
+// proposeOnce proposes a command through the leader, without a retry. It returns
+// the result and the index of the entry.
 func (n *Node) proposeOnce(ctx context.Context, command []byte) ([]byte, uint64, error) {
 	client, ok := n.leaderClient()
 	if !ok {
@@ -80,7 +85,8 @@
 	return response.Msg.Result, response.Msg.Index, nil
 }
 
-// Forward proposes a command for another member, if this host leads.
+// Forward implements ConsensusService. It proposes a command that another member
+// has forwarded, and fails if this host doesn't lead.
 func (s *service) Forward(ctx context.Context, request *connect.Request[pb.ForwardRequest]) (*connect.Response[pb.ForwardResponse], error) {
 	e := &pb.Entry{Payload: &pb.Entry_Command{Command: request.Msg.Command}}
 	result, index, err := s.n.proposeLocal(ctx, e)
@@ -90,10 +96,10 @@
 	return connect.NewResponse(&pb.ForwardResponse{Result: result, Index: index}), nil
 }
 
-// proposeLocal logs an entry on this host if it leads, and waits until it is
-// applied.
+// proposeLocal appends an entry if this host leads, and waits until the entry is
+// applied here. It returns the result and the index of the entry.
 func (n *Node) proposeLocal(ctx context.Context, e *pb.Entry) ([]byte, uint64, error) {
-	w, err := n.logProposal(e)
+	w, err := n.appendProposal(e)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -101,19 +107,19 @@
 	case o := <-w.done:
 		return o.result, e.Index, o.err
 	case <-ctx.Done():
-		return nil, 0, unknown("not committed in time", context.Cause(ctx))
+		return nil, 0, outcomeUnknown("not committed in time", context.Cause(ctx))
 	case <-n.ctx.Done():
-		return nil, 0, unknown("this host is stopping", nil)
+		return nil, 0, outcomeUnknown("this host is stopping", nil)
 	}
 }
 
-func (n *Node) logProposal(e *pb.Entry) (*waiter, error) {
+func (n *Node) appendProposal(e *pb.Entry) (*waiter, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.leadingLocked(); err != nil {
+	if err := n.checkLeadingLocked(); err != nil {
 		return nil, err
 	}
-	if n.log.lastIndex()-n.commit >= maxPending {
+	if n.log.lastIndex()-n.commitIndex >= maxUncommittedEntries {
 		return nil, &fault.NotRun{Reason: fault.ReasonQueueFull, Detail: "too many proposals", RetryAfter: retryDelay}
 	}
 	e.Index, e.Term = n.log.lastIndex()+1, n.term
@@ -122,22 +128,24 @@
 
 func (n *Node) appendWithWaiterLocked(e *pb.Entry) *waiter {
 	w := &waiter{term: e.Term, done: make(chan outcome, 1)}
-	n.lead.waiters[e.Index] = w
+	n.leadership.waiters[e.Index] = w
 	n.appendLocked(e)
 	n.wakePeersLocked()
 	return w
 }
 
-// answerLocked gives the result of an applied entry to its proposer.
-func (n *Node) answerLocked(e *pb.Entry, result []byte) {
-	if n.lead == nil {
+// completeProposalLocked passes the result of an applied entry to the call that
+// waits for it, if there is one. If the entry's term isn't that of the proposal,
+// another leader's entry was committed at its index.
+func (n *Node) completeProposalLocked(e *pb.Entry, result []byte) {
+	if n.leadership == nil {
 		return
 	}
-	w, ok := n.lead.waiters[e.Index]
+	w, ok := n.leadership.waiters[e.Index]
 	if !ok {
 		return
 	}
-	delete(n.lead.waiters, e.Index)
+	delete(n.leadership.waiters, e.Index)
 	if w.term != e.Term {
 		detail := "another leader's entry took the place"
 		w.done <- outcome{err: &fault.NotRun{Reason: ReasonReplaced, Detail: detail}}
--- a/consensus/read.go
+++ b/consensus/read.go
@@ -9,11 +9,11 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// ReadIndex implements Log. It waits up to 2 s for a leader, and for the local
-// application until ctx ends. Its errors are *fault.NotRun.
+// ReadIndex implements Log. It waits up to 2 s for a leader, and then until ctx
+// ends for this host to apply the entries. Its errors are *fault.NotRun.
 func (n *Node) ReadIndex(ctx context.Context) (uint64, error) {
 	var index uint64
-	err := n.withLeader(ctx, func() error {
+	err := n.retryUntilLeader(ctx, func() error {
 		var err error
 		index, err = n.readIndexOnce(ctx)
 		return err
@@ -37,24 +37,25 @@
 	defer cancel()
 	response, err := client.ReadIndex(ctx, connect.NewRequest(&pb.ReadIndexRequest{}))
 	if err != nil {
-		// A read has no effect, so a lost answer counts as not run.
+		// A read has no effect, so a lost response counts as not run.
 		return 0, noLeader("leader not reachable: " + err.Error())
 	}
 	return response.Msg.Index, nil
 }
 
-// readIndexLocal returns the commit index if this host leads. No other host
-// can have committed more, since this host's lease is valid.
+// readIndexLocal returns the commit index if this host leads with a valid lease.
+// While the lease is valid, no other host can have committed more.
 func (n *Node) readIndexLocal() (uint64, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.leadingLocked(); err != nil {
+	if err := n.checkLeadingLocked(); err != nil {
 		return 0, err
 	}
-	return n.commit, nil
+	return n.commitIndex, nil
 }
 
-// ReadIndex answers another member, if this host leads.
+// ReadIndex implements ConsensusService. It returns the commit index to another
+// member, and fails if this host doesn't lead.
 func (s *service) ReadIndex(context.Context, *connect.Request[pb.ReadIndexRequest]) (*connect.Response[pb.ReadIndexResponse], error) {
 	index, err := s.n.readIndexLocal()
 	if err != nil {
@@ -74,7 +75,7 @@
 		case <-ctx.Done():
 			return cancelled(ctx)
 		case <-n.ctx.Done():
-			return stopping()
+			return hostStopping()
 		}
 	}
 }
@@ -83,5 +84,5 @@
 func (n *Node) Applied() (index uint64, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.applied, n.appliedCh
+	return n.lastApplied, n.appliedCh
 }
--- a/consensus/replicate.go
+++ b/consensus/replicate.go
@@ -12,8 +12,9 @@
 	"lovageslip/internal/pause"
 )
 
-// runHeartbeats renews the lease with one peer. It is separate from the
-// replication, so that a peer whose disk is slow still renews it.
+// runHeartbeats sends heartbeats to one peer, whose responses renew the lease. It
+// is separate from runReplication, so that a peer that is slow to sync entries
+// still renews the lease.
 func (n *Node) runHeartbeats(p *peer) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -28,7 +29,7 @@
 }
 
 func (n *Node) sendHeartbeat(p *peer) {
-	request := n.heartbeatFor(p)
+	request := n.heartbeatRequest(p)
 	if request == nil {
 		return
 	}
@@ -42,24 +43,25 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.handleAnswerLocked(p, request.Term, sentAt, response.Msg) {
-		n.progressLocked()
+	if n.handleResponseLocked(p, request.Term, sentAt, response.Msg) {
+		n.advanceLocked()
 	}
 }
 
-// heartbeatFor builds a request without entries, or nil if this host no longer
-// leads. It names the last entry that the peer is known to hold, so that the
-// peer can rely on the commit index.
-func (n *Node) heartbeatFor(p *peer) *pb.AppendEntriesRequest {
+// heartbeatRequest builds a request without entries, or returns nil if this host
+// no longer leads. The request names the last entry that the peer is known to
+// hold, and a commit index up to it, so that the peer can commit its own entries
+// up to there.
+func (n *Node) heartbeatRequest(p *peer) *pb.AppendEntriesRequest {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if p.ctx.Err() != nil || n.role != roleLeader {
 		return nil
 	}
 	request := &pb.AppendEntriesRequest{Term: n.term, Leader: n.options.Name}
-	if term, ok := n.log.term(p.match); ok {
-		request.PrevIndex, request.PrevTerm = p.match, term
-		request.Commit = min(n.commit, p.match)
+	if term, ok := n.log.term(p.matchIndex); ok {
+		request.PrevIndex, request.PrevTerm = p.matchIndex, term
+		request.Commit = min(n.commitIndex, p.matchIndex)
 	}
 	return request
 }
@@ -80,15 +82,17 @@
 	}
 }
 
-// awaitWork waits until the peer lacks something.
+// awaitWork waits until there is something to send to the peer: it lacks entries
+// or the latest commit index, or it isn't known yet what the peer holds. It
+// returns false when the peer's context ends.
 func (n *Node) awaitWork(p *peer) bool {
 	for {
 		n.mu.Lock()
-		work := p.match == 0 || p.next <= n.log.lastIndex() || p.sentCommit < n.commit
-		// Before the first entry there is nothing to ask a peer for.
-		work = work && !n.formingLocked()
+		hasWork := p.matchIndex == 0 || p.nextIndex <= n.log.lastIndex() || p.sentCommit < n.commitIndex
+		// Before the first entry there is nothing to replicate.
+		hasWork = hasWork && !n.logEmptyLocked()
 		n.mu.Unlock()
-		if work {
+		if hasWork {
 			return p.ctx.Err() == nil
 		}
 		select {
@@ -99,10 +103,11 @@
 	}
 }
 
-// replicateOnce sends one batch or a snapshot and reports success.
+// replicateOnce sends one batch of entries, or a snapshot, and reports whether the
+// next request may follow without a delay.
 func (n *Node) replicateOnce(p *peer) bool {
-	request, behind := n.batchFor(p)
-	if behind {
+	request, needsSnapshot := n.appendRequest(p)
+	if needsSnapshot {
 		return n.sendSnapshot(p)
 	}
 	if request == nil {
@@ -116,46 +121,48 @@
 		n.metrics.Counter("appends_failed_total").Inc(1)
 		return false
 	}
-	return n.handleBatch(p, request, sentAt, response.Msg)
+	return n.handleAppendResponse(p, request, sentAt, response.Msg)
 }
 
-// batchFor builds the next request. It reports behind if the peer needs a
-// snapshot.
-func (n *Node) batchFor(p *peer) (request *pb.AppendEntriesRequest, behind bool) {
+// appendRequest builds the next request with entries, or returns nil if this host
+// no longer leads. needsSnapshot is true if the entries that the peer needs have
+// been compacted.
+func (n *Node) appendRequest(p *peer) (request *pb.AppendEntriesRequest, needsSnapshot bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if p.ctx.Err() != nil || n.role != roleLeader {
 		return nil, false
 	}
-	prevTerm, ok := n.log.term(p.next - 1)
+	prevTerm, ok := n.log.term(p.nextIndex - 1)
 	if !ok {
 		return nil, true
 	}
-	entries := n.log.from(p.next)
+	entries := n.log.batchFrom(p.nextIndex)
 	return &pb.AppendEntriesRequest{
 		Term:      n.term,
 		Leader:    n.options.Name,
-		PrevIndex: p.next - 1,
+		PrevIndex: p.nextIndex - 1,
 		PrevTerm:  prevTerm,
 		Entries:   entries,
-		Commit:    n.commit,
+		Commit:    n.commitIndex,
 	}, false
 }
 
-// handleBatch reports whether the next request may follow at once.
-func (n *Node) handleBatch(p *peer, request *pb.AppendEntriesRequest, sentAt time.Time, r *pb.AppendEntriesResponse) bool {
+// handleAppendResponse records a peer's response to a batch of entries, and
+// reports whether the next request may follow without a delay.
+func (n *Node) handleAppendResponse(p *peer, request *pb.AppendEntriesRequest, sentAt time.Time, r *pb.AppendEntriesResponse) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.handleAnswerLocked(p, request.Term, sentAt, r) {
+	if !n.handleResponseLocked(p, request.Term, sentAt, r) {
 		return false
 	}
 	if !r.Success {
-		p.next = max(1, min(r.MatchIndex, p.next-1))
+		p.nextIndex = max(1, min(r.MatchIndex, p.nextIndex-1))
 		return true
 	}
-	p.match = max(p.match, r.MatchIndex)
-	p.next = max(p.next, r.MatchIndex+1)
+	p.matchIndex = max(p.matchIndex, r.MatchIndex)
+	p.nextIndex = max(p.nextIndex, r.MatchIndex+1)
 	p.sentCommit = min(request.Commit, r.MatchIndex)
-	n.progressLocked()
+	n.advanceLocked()
 	return r.MatchIndex >= request.PrevIndex+uint64(len(request.Entries))
 }
--- a/consensus/silent_test.go
+++ b/consensus/silent_test.go
@@ -10,16 +10,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// relay passes connections on to a host. It can make the open ones go silent
-// for ever while new ones work.
+// relay is a TCP proxy in front of a host. It can stop passing data on the
+// connections that are open, without closing them, while new ones work.
 type relay struct {
 	listener net.Listener
 	target   string
 	mu       sync.Mutex
-	open     []*relayed
+	open     []*relayedConn
 }
 
-type relayed struct {
+type relayedConn struct {
 	silent atomic.Bool
 	ends   [2]net.Conn
 }
@@ -35,27 +35,27 @@
 
 func (r *relay) run() {
 	for {
-		in, err := r.listener.Accept()
+		incoming, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		out, err := net.Dial("tcp", r.target)
+		outgoing, err := net.Dial("tcp", r.target)
 		if err != nil {
-			in.Close()
+			incoming.Close()
 			continue
 		}
-		pair := &relayed{ends: [2]net.Conn{in, out}}
+		pair := &relayedConn{ends: [2]net.Conn{incoming, outgoing}}
 		r.mu.Lock()
 		r.open = append(r.open, pair)
 		r.mu.Unlock()
-		go pair.copy(in, out)
-		go pair.copy(out, in)
+		go pair.copy(incoming, outgoing)
+		go pair.copy(outgoing, incoming)
 	}
 }
 
-// copy drops the bytes of a silent connection, so that its sender sees no
-// error.
-func (p *relayed) copy(from, to net.Conn) {
+// copy passes data on in one direction. On a silent connection it reads and drops
+// the data, so that the sender sees no error.
+func (p *relayedConn) copy(from, to net.Conn) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
@@ -71,7 +71,7 @@
 	}
 }
 
-func (r *relay) silence() {
+func (r *relay) silenceOpen() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, pair := range r.open {
@@ -79,10 +79,10 @@
 	}
 }
 
-// Guards against a cluster that waits for ever on connections that went silent
-// while new connections work.
+// Guards against a cluster that waits for ever for responses on connections that
+// pass no data but are not closed, while new connections would work.
 func TestSilentConnectionsAreReplaced(t *testing.T) {
-	c := plannedCluster(t, "a", "b", "c")
+	c := newStoppedCluster(t, "a", "b", "c")
 	var relays []*relay
 	for _, h := range c.hosts {
 		public := h.address
@@ -92,14 +92,14 @@
 	for _, h := range c.hosts {
 		h.start()
 	}
-	c.leader().propose(1)
+	c.awaitLeader().propose(1)
 	for round := range uint64(3) {
 		for _, r := range relays {
-			r.silence()
+			r.silenceOpen()
 		}
 		for _, h := range c.hosts {
 			h.propose(round + 2)
-			h.readsBack(round + 2)
+			h.awaitRead(round + 2)
 		}
 	}
 }
--- a/consensus/snapshot.go
+++ b/consensus/snapshot.go
@@ -10,22 +10,23 @@
 	"lovageslip/wal"
 )
 
-// restoreOp is a snapshot from the leader that waits for runApply.
+// restoreOp is a snapshot from the leader that runApply is to install.
 type restoreOp struct {
-	meta  *pb.SnapshotMeta
-	state []byte
-	done  chan struct{}
-	op    *diskOp // set before done is closed
+	meta   *pb.SnapshotMeta
+	state  []byte
+	done   chan struct{} // closed by runApply
+	diskOp *diskOp       // set before done is closed, or nil if nothing was restored
 }
 
-// sendSnapshot sends the newest snapshot to a peer and reports success.
+// sendSnapshot sends the newest snapshot to a peer, and reports whether entries
+// may follow without a delay.
 func (n *Node) sendSnapshot(p *peer) bool {
 	meta, state, err := n.loadSnapshot()
 	if err != nil {
-		n.fail(err)
+		n.failStorage(err)
 		return false
 	}
-	n.logger.Info("sending a snapshot", "peer", p.name, "index", meta.Index)
+	n.logger.Info("leader sends a snapshot to a peer", "peer", p.name, "index", meta.Index)
 	ctx, cancel := context.WithTimeout(p.ctx, snapshotTimeout)
 	defer cancel()
 	n.mu.Lock()
@@ -39,26 +40,27 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if response.Term > n.term {
-		n.followTermLocked(response.Term, "")
+		n.adoptTermLocked(response.Term, "")
 		return false
 	}
 	if n.role != roleLeader || n.term != term {
 		return false
 	}
-	// The answer doesn't count towards a quorum; the next batch does.
-	p.next = meta.Index + 1
+	// The snapshot itself doesn't count towards a quorum. The response to the
+	// nextIndex batch does.
+	p.nextIndex = meta.Index + 1
 	return true
 }
 
 func (n *Node) loadSnapshot() (*pb.SnapshotMeta, []byte, error) {
-	n.snapshots.Lock()
-	defer n.snapshots.Unlock()
+	n.snapshotFileMu.Lock()
+	defer n.snapshotFileMu.Unlock()
 	_, file, ok, err := n.folder.LoadSnapshot()
 	if err != nil {
 		return nil, nil, err
 	}
 	if !ok {
-		return nil, nil, &BadLog{Detail: "the snapshot is missing"}
+		return nil, nil, &UnusableLog{Detail: "the snapshot is missing"}
 	}
 	return decodeSnapshot(file)
 }
@@ -66,7 +68,7 @@
 func (n *Node) streamSnapshot(ctx context.Context, p *peer, term uint64, meta *pb.SnapshotMeta, state []byte) (*pb.InstallSnapshotResponse, error) {
 	stream := p.client.InstallSnapshot(ctx)
 	for {
-		size := min(len(state), snapshotChunk)
+		size := min(len(state), snapshotChunkBytes)
 		chunk := &pb.InstallSnapshotRequest{
 			Term:   term,
 			Leader: n.options.Name,
@@ -74,7 +76,7 @@
 			Data:   state[:size],
 			Last:   size == len(state),
 		}
-		// After an error, CloseAndReceive returns its cause.
+		// After a failed Send, CloseAndReceive returns the cause.
 		if err := stream.Send(chunk); err != nil || chunk.Last {
 			break
 		}
@@ -87,14 +89,15 @@
 	return response.Msg, nil
 }
 
-// InstallSnapshot replaces this host's state by the leader's snapshot.
+// InstallSnapshot implements ConsensusService. It replaces this host's state by
+// the snapshot that the leader streams, and answers once that is synced.
 func (s *service) InstallSnapshot(ctx context.Context, stream *connect.ClientStream[pb.InstallSnapshotRequest]) (*connect.Response[pb.InstallSnapshotResponse], error) {
 	n := s.n
 	restore := &restoreOp{done: make(chan struct{})}
 	complete := false
 	for !complete && stream.Receive() {
 		chunk := stream.Msg()
-		if term, ok := n.hearSnapshot(chunk); !ok {
+		if term, ok := n.acceptSnapshotChunk(chunk); !ok {
 			return connect.NewResponse(&pb.InstallSnapshotResponse{Term: term}), nil
 		}
 		restore.meta = chunk.Meta
@@ -102,9 +105,9 @@
 		complete = chunk.Last
 	}
 	if !complete || restore.meta == nil {
-		return nil, toWire(unknown("snapshot stream ended early", stream.Err()))
+		return nil, toWire(outcomeUnknown("snapshot stream ended early", stream.Err()))
 	}
-	if err := n.install(ctx, restore); err != nil {
+	if err := n.installSnapshot(ctx, restore); err != nil {
 		return nil, toWire(err)
 	}
 	n.mu.Lock()
@@ -112,76 +115,83 @@
 	return connect.NewResponse(&pb.InstallSnapshotResponse{Term: n.term}), nil
 }
 
-func (n *Node) hearSnapshot(chunk *pb.InstallSnapshotRequest) (term uint64, ok bool) {
+// acceptSnapshotChunk records contact with the leader that sent the chunk. It
+// returns false, with this host's term, if the chunk is of an earlier term or
+// this host has stopped.
+func (n *Node) acceptSnapshotChunk(chunk *pb.InstallSnapshotRequest) (term uint64, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if chunk.Term < n.term || n.failed != nil || n.closed {
+	if chunk.Term < n.term || n.storageErr != nil || n.closed {
 		return n.term, false
 	}
-	n.hearLeaderLocked(chunk.Term, chunk.Leader)
+	n.recordLeaderContactLocked(chunk.Term, chunk.Leader)
 	return n.term, true
 }
 
-// install hands a snapshot to runApply and waits until it is in place and
+// installSnapshot passes a snapshot to runApply and waits until it is restored and
 // synced.
-func (n *Node) install(ctx context.Context, restore *restoreOp) error {
+func (n *Node) installSnapshot(ctx context.Context, restore *restoreOp) error {
 	n.mu.Lock()
-	if n.restore != nil {
+	if n.pendingRestore != nil {
 		n.mu.Unlock()
 		return noLeader("another snapshot is being installed")
 	}
-	n.restore = restore
+	n.pendingRestore = restore
 	n.mu.Unlock()
 	notify(n.applyWake)
 	select {
 	case <-restore.done:
-	case <-n.failedCh:
+	case <-n.storageFailed:
 		return n.Err()
 	case <-n.ctx.Done():
 		return noLeader("this host is stopping")
 	}
-	return n.awaitDisk(ctx, restore.op)
+	return n.awaitDisk(ctx, restore.diskOp)
 }
 
-// runRestore stores the snapshot before the log forgets what it replaces.
+// runRestore installs a snapshot from the leader, unless this host has already
+// applied as much. It saves the snapshot before the entries that the snapshot
+// replaces are dropped, so that a crash between the two loses nothing.
 func (n *Node) runRestore(r *restoreOp) {
 	defer close(r.done)
 	if r.meta.Index <= n.appliedIndex() {
 		return
 	}
 	if err := n.saveSnapshot(r.meta, r.state); err != nil {
-		n.fail(err)
+		n.failStorage(err)
 		return
 	}
 	start := time.Now()
 	if err := n.options.StateMachine.Restore(r.state); err != nil {
-		n.fail(&BadLog{Detail: "snapshot refused by the state machine", Err: err})
+		n.failStorage(&UnusableLog{Detail: "snapshot refused by the state machine", Err: err})
 		return
 	}
 	n.metrics.Timer("restore_seconds").Record(time.Since(start))
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.adoptLocked(r)
+	n.adoptSnapshotLocked(r)
 }
 
 func (n *Node) appliedIndex() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.applied
+	return n.lastApplied
 }
 
-func (n *Node) adoptLocked(r *restoreOp) {
-	op := &diskOp{compact: r.meta.Index}
+// adoptSnapshotLocked makes a restored snapshot the base of the log and queues the
+// matching change of the write-ahead log.
+func (n *Node) adoptSnapshotLocked(r *restoreOp) {
+	op := &diskOp{compactThrough: r.meta.Index}
 	if !n.log.reset(r.meta) {
 		op.records = []wal.Record{{Kind: kindReset, Data: encode(r.meta)}}
-		n.durable = r.meta.Index
+		n.durableIndex = r.meta.Index
 	}
-	n.durable = max(n.durable, r.meta.Index)
-	n.snapIndex = r.meta.Index
-	n.commit = max(n.commit, r.meta.Index)
+	n.durableIndex = max(n.durableIndex, r.meta.Index)
+	n.snapshotIndex = r.meta.Index
+	n.commitIndex = max(n.commitIndex, r.meta.Index)
 	n.setAppliedLocked(r.meta.Index)
-	n.membersChangedLocked()
+	n.reloadMembersLocked()
 	n.queueLocked(op)
-	r.op = op
-	n.logger.Info("installed a snapshot", "index", r.meta.Index)
+	r.diskOp = op
+	n.logger.Info("this host installed a snapshot from the leader", "index", r.meta.Index)
 }
--- a/consensus/status.go
+++ b/consensus/status.go
@@ -8,7 +8,8 @@
 	"lovageslip/internal/pause"
 )
 
-// Status is what operators and metrics see of a node.
+// Status is the state of a node, for operators, metrics and the packages that
+// manage the membership.
 type Status struct {
 	Name        string
 	Incarnation string
@@ -19,29 +20,30 @@
 	// LeaseValid is true on a leader that may answer reads and accept
 	// changes now.
 	LeaseValid bool
-	// Last, Durable, Commit and Applied are indexes in the log: the last
-	// entry held in memory, on this host's disk, known to be committed, and
-	// applied to the state machine.
+	// Last, Durable, Commit and Applied are the indexes of the last entry in
+	// memory, synced to this host's disk, known to be committed, and applied
+	// to the state machine.
 	Last, Durable, Commit, Applied uint64
-	// Snapshot is the index of this host's newest snapshot.
+	// Snapshot is the last index that this host's newest snapshot covers.
 	Snapshot uint64
 	Members  []MemberStatus
 	// Err is *StorageFailed once the disk has failed.
 	Err error
 }
 
-// MemberStatus is a member as this host sees it. Only a leader knows the last
-// three fields of the others.
+// MemberStatus is what this host knows of a member. Only a leader knows Match,
+// Silent and WrongIncarnation of the other members.
 type MemberStatus struct {
 	Member
 	// Match is the last entry that the member is known to have synced.
 	Match uint64
-	// Silent is the time since the send time of the latest request that the
-	// member answered, or since this host leads if it has answered none.
+	// Silent is the age of the leader's last contact with the member. It
+	// counts from when the latest request that the member answered was sent,
+	// or from when this host began to lead if the member has answered none.
 	Silent time.Duration
 	// WrongIncarnation is true if the member runs on another data folder
-	// than the one it was added with. It doesn't count until it is removed
-	// and added again.
+	// than the one it was added with. It counts towards no quorum until it
+	// is removed and added again.
 	WrongIncarnation bool
 }
 
@@ -51,7 +53,7 @@
 	roleLeader:    "leader",
 }
 
-// Status returns the state of the node.
+// Status returns the current state of the node.
 func (n *Node) Status() Status {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -61,13 +63,13 @@
 		Role:        roleNames[n.role],
 		Leader:      n.leader,
 		Term:        n.term,
-		LeaseValid:  n.leadingLocked() == nil,
+		LeaseValid:  n.checkLeadingLocked() == nil,
 		Last:        n.log.lastIndex(),
-		Durable:     n.durable,
-		Commit:      n.commit,
-		Applied:     n.applied,
-		Snapshot:    n.snapIndex,
-		Err:         n.failed,
+		Durable:     n.durableIndex,
+		Commit:      n.commitIndex,
+		Applied:     n.lastApplied,
+		Snapshot:    n.snapshotIndex,
+		Err:         n.storageErr,
 	}
 	for _, m := range n.membersLocked() {
 		s.Members = append(s.Members, n.memberStatusLocked(m))
@@ -78,25 +80,25 @@
 func (n *Node) memberStatusLocked(m Member) MemberStatus {
 	s := MemberStatus{Member: m}
 	if m.Name == n.options.Name {
-		s.Match = n.durable
-		s.WrongIncarnation = m.Incarnation != n.incarnation && !n.formingLocked()
+		s.Match = n.durableIndex
+		s.WrongIncarnation = m.Incarnation != n.incarnation && !n.logEmptyLocked()
 		return s
 	}
-	if n.lead == nil || n.lead.peers[m.Name] == nil {
+	if n.leadership == nil || n.leadership.peers[m.Name] == nil {
 		return s
 	}
-	p := n.lead.peers[m.Name]
-	s.Match = p.match
-	heard := p.ackedAt
-	if heard.Before(n.lead.since) {
-		heard = n.lead.since
+	p := n.leadership.peers[m.Name]
+	s.Match = p.matchIndex
+	lastContact := p.ackedSendTime
+	if lastContact.Before(n.leadership.startedAt) {
+		lastContact = n.leadership.startedAt
 	}
-	s.Silent = bootclock.Since(heard)
-	s.WrongIncarnation = p.incarnation != "" && p.incarnation != m.Incarnation && !n.formingLocked()
+	s.Silent = bootclock.Since(lastContact)
+	s.WrongIncarnation = p.incarnation != "" && p.incarnation != m.Incarnation && !n.logEmptyLocked()
 	return s
 }
 
-// runGauges reports the state once a second.
+// runGauges updates the metrics of the node's state every gaugeInterval.
 func (n *Node) runGauges(ctx context.Context) {
 	for {
 		s := n.Status()
@@ -104,16 +106,16 @@
 		n.metrics.Gauge("commit_index").Update(float64(s.Commit))
 		n.metrics.Gauge("applied_index").Update(float64(s.Applied))
 		n.metrics.Gauge("unsynced_entries").Update(float64(s.Last - min(s.Durable, s.Last)))
-		n.metrics.Gauge("leading").Update(gaugeOf(s.LeaseValid))
-		n.metrics.Gauge("storage_failed").Update(gaugeOf(s.Err != nil))
+		n.metrics.Gauge("leading").Update(boolGauge(s.LeaseValid))
+		n.metrics.Gauge("storage_failed").Update(boolGauge(s.Err != nil))
 		if !pause.For(ctx, gaugeInterval) {
 			return
 		}
 	}
 }
 
-func gaugeOf(on bool) float64 {
-	if on {
+func boolGauge(value bool) float64 {
+	if value {
 		return 1
 	}
 	return 0
--- a/consensus/storage.go
+++ b/consensus/storage.go
@@ -3,6 +3,7 @@
 import (
 	"crypto/rand"
 	"encoding/binary"
+	"fmt"
 
 	"google.golang.org/protobuf/proto"
 
@@ -10,37 +11,40 @@
 	"lovageslip/wal"
 )
 
-// Kinds of records in the write-ahead log. Each segment starts with an
-// identity, a hard state and a snapshot mark.
+// Kinds of records in the write-ahead log. Each segment starts with the preamble:
+// an identity, a hard state (term and vote) and a snapshot mark.
 const (
 	kindIdentity  uint8 = 1
 	kindHardState uint8 = 2
 	kindEntry     uint8 = 3
-	// kindReset drops all entries before it; they were replaced by the
-	// snapshot that the record names.
+	// kindReset invalidates all entries before it. The snapshot that the
+	// record names has replaced them.
 	kindReset uint8 = 4
-	// kindSnapshot marks that a snapshot at this index or later exists, so
-	// that the loss of its file is noticed.
+	// kindSnapshot records that a snapshot at this index or later was saved,
+	// so that recovery detects the loss of its file.
 	kindSnapshot uint8 = 5
 )
 
-// recovered is what a data folder holds.
-type recovered struct {
-	identity *pb.Member
-	hard     *pb.HardState
-	meta     *pb.SnapshotMeta
-	snapshot []byte
-	entries  entryLog
-	// discarded is set if entries were dropped in favour of the snapshot, so
-	// that a reset must be logged before further entries.
-	discarded bool
-	// needed is the index of the snapshot that must exist.
-	needed uint64
+// recoveredState is the state that was read from a data folder at the start.
+type recoveredState struct {
+	identity     *pb.Member
+	hard         *pb.HardState
+	snapshotMeta *pb.SnapshotMeta
+	snapshot     []byte
+	entries      entryLog
+	// entriesDiscarded is set if the log's entries were dropped because they
+	// don't continue the snapshot. A kindReset record must then precede further
+	// entries, so that the dropped ones are not replayed.
+	entriesDiscarded bool
+	// requiredSnapshot is the highest index in a snapshot mark. A snapshot at
+	// this index or later must exist.
+	requiredSnapshot uint64
 }
 
-// recoverState reads the snapshot and replays the records.
-func recoverState(folder *wal.Folder, records []wal.Record) (*recovered, error) {
-	r := &recovered{hard: &pb.HardState{}, meta: &pb.SnapshotMeta{}}
+// recoverState reads the newest snapshot and replays the records of the
+// write-ahead log.
+func recoverState(folder *wal.Folder, records []wal.Record) (*recoveredState, error) {
+	r := &recoveredState{hard: &pb.HardState{}, snapshotMeta: &pb.SnapshotMeta{}}
 	if err := r.loadSnapshot(folder); err != nil {
 		return nil, err
 	}
@@ -50,21 +54,21 @@
 		}
 	}
 	if r.identity == nil && (len(records) > 0 || r.snapshot != nil) {
-		return nil, &BadLog{Detail: "no identity record"}
+		return nil, &UnusableLog{Detail: "the data folder holds records or a snapshot but no identity record"}
 	}
 	return r, r.joinSnapshot()
 }
 
-func (r *recovered) loadSnapshot(folder *wal.Folder) error {
+func (r *recoveredState) loadSnapshot(folder *wal.Folder) error {
 	_, file, ok, err := folder.LoadSnapshot()
 	if err != nil || !ok {
 		return err
 	}
-	r.meta, r.snapshot, err = decodeSnapshot(file)
+	r.snapshotMeta, r.snapshot, err = decodeSnapshot(file)
 	return err
 }
 
-func (r *recovered) replay(record wal.Record) error {
+func (r *recoveredState) replay(record wal.Record) error {
 	switch record.Kind {
 	case kindIdentity:
 		r.identity = &pb.Member{}
@@ -78,18 +82,18 @@
 	case kindSnapshot:
 		mark := &pb.SnapshotMeta{}
 		err := decode(record.Data, mark)
-		r.needed = max(r.needed, mark.Index)
+		r.requiredSnapshot = max(r.requiredSnapshot, mark.Index)
 		return err
 	case kindEntry:
 		return r.replayEntry(record.Data)
 	default:
-		return &BadLog{Detail: "record of an unknown kind"}
+		return &UnusableLog{Detail: fmt.Sprintf("record of unknown kind %d", record.Kind)}
 	}
 }
 
-// replayEntry adds an entry. An entry at or before the last one replaces it
-// and all that follow it.
-func (r *recovered) replayEntry(data []byte) error {
+// replayEntry adds an entry. An entry at an index that the log already holds
+// replaces the entry there and all that follow it.
+func (r *recoveredState) replayEntry(data []byte) error {
 	e := &pb.Entry{}
 	if err := decode(data, e); err != nil {
 		return err
@@ -99,7 +103,7 @@
 		*l = entryLog{baseIndex: e.Index - 1}
 	}
 	if e.Index > l.lastIndex()+1 {
-		return &BadLog{Detail: "entries are missing"}
+		return &UnusableLog{Detail: fmt.Sprintf("entry %d follows entry %d; those between are missing", e.Index, l.lastIndex())}
 	}
 	if e.Index <= l.lastIndex() {
 		l.truncate(e.Index)
@@ -108,30 +112,31 @@
 	return nil
 }
 
-// joinSnapshot drops the entries that the snapshot covers, or all of them if
-// they don't continue the snapshot.
-func (r *recovered) joinSnapshot() error {
-	if r.needed > r.meta.Index {
-		return &BadLog{Detail: "the snapshot is missing"}
+// joinSnapshot makes the snapshot the base of the replayed log. It drops the
+// entries that the snapshot covers, or all of them if they don't continue the
+// snapshot.
+func (r *recoveredState) joinSnapshot() error {
+	if r.requiredSnapshot > r.snapshotMeta.Index {
+		return &UnusableLog{Detail: fmt.Sprintf("the snapshot at index %d or later is missing; the newest one found covers entries up to %d", r.requiredSnapshot, r.snapshotMeta.Index)}
 	}
 	l := &r.entries
 	if len(l.entries) == 0 {
-		l.reset(r.meta)
+		l.reset(r.snapshotMeta)
 		return nil
 	}
-	if l.baseIndex > r.meta.Index {
-		return &BadLog{Detail: "entries between the snapshot and the log are missing"}
+	if l.baseIndex > r.snapshotMeta.Index {
+		return &UnusableLog{Detail: fmt.Sprintf("entries %d to %d between the snapshot and the log are missing", r.snapshotMeta.Index+1, l.baseIndex)}
 	}
-	if l.baseIndex == r.meta.Index {
-		l.baseTerm = r.meta.Term
+	if l.baseIndex == r.snapshotMeta.Index {
+		l.baseTerm = r.snapshotMeta.Term
 	}
-	r.discarded = !l.reset(r.meta)
+	r.entriesDiscarded = !l.reset(r.snapshotMeta)
 	return nil
 }
 
 func decode(data []byte, m proto.Message) error {
 	if err := proto.Unmarshal(data, m); err != nil {
-		return &BadLog{Detail: "record can't be decoded", Err: err}
+		return &UnusableLog{Detail: "record can't be decoded", Err: err}
 	}
 	return nil
 }
@@ -139,8 +144,8 @@
 func encode(m proto.Message) []byte {
 	data, err := proto.Marshal(m)
 	if err != nil {
-		// Marshal fails only for invalid UTF-8 in names, which are
-		// checked at the edge.
+		// Marshal fails only for invalid UTF-8, and checkMember rejects
+		// names and addresses that contain it.
 		panic(err)
 	}
 	return data
@@ -150,8 +155,9 @@
 	return wal.Record{Kind: kindEntry, Index: e.Index, Data: encode(e)}
 }
 
-// Layout of a snapshot: length of the metadata (4 bytes, little-endian),
-// metadata, state.
+// metaLengthSize is the size in bytes of the length field of a snapshot. A
+// snapshot consists of the length of its metadata (little-endian), the metadata
+// and the state of the state machine.
 const metaLengthSize = 4
 
 func encodeSnapshot(meta *pb.SnapshotMeta, state []byte) []byte {
@@ -163,12 +169,12 @@
 
 func decodeSnapshot(data []byte) (*pb.SnapshotMeta, []byte, error) {
 	if len(data) < metaLengthSize {
-		return nil, nil, &BadLog{Detail: "snapshot too short"}
+		return nil, nil, &UnusableLog{Detail: "snapshot too short"}
 	}
 	length := uint64(binary.LittleEndian.Uint32(data))
 	rest := data[metaLengthSize:]
 	if uint64(len(rest)) < length {
-		return nil, nil, &BadLog{Detail: "snapshot too short"}
+		return nil, nil, &UnusableLog{Detail: "snapshot too short"}
 	}
 	meta := &pb.SnapshotMeta{}
 	if err := decode(rest[:length], meta); err != nil {
--- a/consensus/transport.go
+++ b/consensus/transport.go
@@ -8,17 +8,19 @@
 )
 
 // NewHTTPClient returns a client that speaks HTTP/2 without TLS. It pings idle
-// connections, so that a connection that has gone silent is replaced.
+// connections, so that a connection that carries no data any more without being
+// closed is replaced.
 func NewHTTPClient() *http.Client {
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	return &http.Client{Transport: &http.Transport{
 		Protocols:   protocols,
 		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext,
-		HTTP2:       &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
+		HTTP2:       &http.HTTP2Config{SendPingTimeout: pingAfterIdle, PingTimeout: pingTimeout},
 	}}
 }
 
+// clientLocked returns the client for an address. It keeps one per address.
 func (n *Node) clientLocked(address string) lovageslipv1connect.ConsensusServiceClient {
 	client, ok := n.clients[address]
 	if !ok {
