--- a/standin/activity.go
+++ b/standin/activity.go
@@ -24,16 +24,16 @@
 	return uint32(n), err == nil
 }
 
-// activity answers a query of pg_stat_activity. There is no row for a session
+// queryActivity answers a query of pg_stat_activity. There is no row for a session
 // that has ended.
-func (s *session) activity(pid uint32, sink *rowSink) (string, *pgError) {
+func (s *session) queryActivity(pid uint32, sink *rowSink) (string, *pgError) {
 	sink.start(activityFields)
-	other := s.server.session(pid)
+	other := s.server.sessionByPID(pid)
 	if other == nil {
 		return "SELECT 0", nil
 	}
 	state := "idle"
-	if other.working() {
+	if other.isBusy() {
 		state = "active"
 	}
 	if err := sink.row([]driver.Value{state, nil}); err != nil {
@@ -42,13 +42,13 @@
 	return "SELECT 1", nil
 }
 
-func (s *session) working() bool {
+func (s *session) isBusy() bool {
 	s.cancelMu.Lock()
 	defer s.cancelMu.Unlock()
 	return s.busy
 }
 
-func (s *Server) session(pid uint32) *session {
+func (s *Server) sessionByPID(pid uint32) *session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sessions[pid]
--- a/standin/announce.go
+++ b/standin/announce.go
@@ -43,29 +43,29 @@
 	term upstream.Term
 }
 
-// run announces at the start, on each change of role or term until answered,
+// ctx announces at the start, on each change of role or term until answered,
 // and every announceInterval.
 func (a *announcer) run(ctx context.Context) {
 	var announced identity
 	answered := false
 	for ctx.Err() == nil {
 		status, changed := a.server.state.watch()
-		current := identity{role: status.Role, term: status.Term}
-		if answered && current == announced {
-			a.pause(ctx, current, changed)
+		currentIdentity := identity{role: status.Role, term: status.Term}
+		if answered && currentIdentity == announced {
+			a.waitUntilDue(ctx, currentIdentity, changed)
 			answered = false
 			continue
 		}
 		answered = a.announce(ctx) == nil
-		announced = current
+		announced = currentIdentity
 		if !answered {
 			waitFor(ctx, nil, announceInterval)
 		}
 	}
 }
 
-// pause waits until the next announcement is due.
-func (a *announcer) pause(ctx context.Context, announced identity, changed <-chan struct{}) {
+// waitUntilDue waits until the next announcement is due.
+func (a *announcer) waitUntilDue(ctx context.Context, announced identity, changed <-chan struct{}) {
 	timer := time.NewTimer(announceInterval)
 	defer timer.Stop()
 	for {
@@ -127,6 +127,6 @@
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
-		waitFor(ctx, nil, relinkDelay)
+		waitFor(ctx, nil, reconnectDelay)
 	}
 }
--- a/standin/auth.go
+++ b/standin/auth.go
@@ -10,10 +10,10 @@
 	if s.server.options.TLS != nil && !isTLS(s.conn) {
 		return &pgError{Code: codeNotAuthorized, Message: "connections without TLS are not accepted"}
 	}
-	if s.server.logins == nil {
+	if s.server.passwordVerifier == nil {
 		return nil
 	}
-	if err := s.server.logins.Verify(user, passwordMessages{s}); err != nil {
+	if err := s.server.passwordVerifier.Verify(user, passwordMessages{s}); err != nil {
 		return &pgError{Code: codeBadPassword, Message: "password authentication failed for user " + user}
 	}
 	return nil
@@ -30,7 +30,7 @@
 
 // Receive implements pgscram.Messages.
 func (m passwordMessages) Receive() ([]byte, error) {
-	kind, body, err := m.session.in.next()
+	kind, body, err := m.session.reader.next()
 	if err == nil && kind != 'p' {
 		err = &pgError{Code: codeProtocol, Message: "expected a password message"}
 	}
--- a/standin/describe.go
+++ b/standin/describe.go
@@ -28,7 +28,7 @@
 		name, _, failure := s.showValue(st)
 		return []field{{name: name, oid: oidText}}, failure
 	}
-	if !inDatabase(st) {
+	if !runsInSQLite(st) {
 		return nil, nil
 	}
 	p, failure := s.prepare(st.sql)
@@ -60,25 +60,25 @@
 	stmt := probe.(*sqlite3.SQLiteStmt)
 	result, err := stmt.QueryContext(s.ctx, namedValues(nil, stmt.NumInput()))
 	if err != nil {
-		return nil, s.failure(err)
+		return nil, s.statementError(err)
 	}
 	defer result.Close()
 	described := &prepared{}
-	described.describe(result.(*sqlite3.SQLiteRows))
+	described.readColumns(result.(*sqlite3.SQLiteRows))
 	fields := described.fields
-	s.guessFields(st, described, oids, fields)
+	s.inferFieldTypes(st, described, oids, fields)
 	return fields, nil
 }
 
 func (s *session) describeReturning(st *statement, oids []uint32) []field {
-	guess := s.newGuess(st, oids)
+	inference := s.newTypeInference(st, oids)
 	var fields []field
 	for _, expression := range splitList(afterWord(st.tokens, "RETURNING")) {
 		if len(expression) == 1 && expression[0].is("*") {
-			fields = append(fields, guess.tables.all()...)
+			fields = append(fields, inference.tables.all()...)
 			continue
 		}
-		fields = append(fields, field{name: columnName(st, expression), oid: guess.expression(withoutAlias(expression))})
+		fields = append(fields, field{name: columnName(st, expression), oid: inference.expressionType(withoutAlias(expression))})
 	}
 	return fields
 }
@@ -92,18 +92,18 @@
 	return unquote(st.source[last.start-base : last.end-base])
 }
 
-// guessFields types the columns that are expressions by their text.
-func (s *session) guessFields(st *statement, p *prepared, oids []uint32, fields []field) {
-	var guess *guess
+// inferFieldTypes types the columns that are expressions by their text.
+func (s *session) inferFieldTypes(st *statement, p *prepared, oids []uint32, fields []field) {
+	var inference *typeInference
 	list := splitList(selectList(st.tokens))
 	for i := range fields {
-		if p.declared[i] || len(list) != len(fields) {
+		if p.hasDeclaredType[i] || len(list) != len(fields) {
 			continue
 		}
-		if guess == nil {
-			guess = s.newGuess(st, oids)
+		if inference == nil {
+			inference = s.newTypeInference(st, oids)
 		}
-		fields[i].oid = guess.expression(withoutAlias(list[i]))
+		fields[i].oid = inference.expressionType(withoutAlias(list[i]))
 	}
 }
 
@@ -170,15 +170,15 @@
 // tableColumns holds the declared types of the columns that a statement may
 // refer to.
 type tableColumns struct {
-	order []field
-	types map[string]uint32
+	ordered    []field
+	typeByName map[string]uint32
 }
 
-func (t *tableColumns) all() []field { return t.order }
+func (t *tableColumns) all() []field { return t.ordered }
 
 // readTables reads the columns of every name in the statement that is a table.
 func (s *session) readTables(st *statement) *tableColumns {
-	tables := &tableColumns{types: map[string]uint32{}}
+	tables := &tableColumns{typeByName: map[string]uint32{}}
 	seen := map[string]bool{}
 	for i, t := range st.tokens {
 		isName := t.kind == tokenWord || t.kind == tokenQuoted
@@ -211,7 +211,7 @@
 		column, _ := dest[0].(string)
 		declared, _ := dest[1].(string)
 		oid := oidOfDeclared(declared)
-		tables.order = append(tables.order, field{name: column, oid: oid})
-		tables.types[strings.ToUpper(column)] = oid
+		tables.ordered = append(tables.ordered, field{name: column, oid: oid})
+		tables.typeByName[strings.ToUpper(column)] = oid
 	}
 }
--- a/standin/errors.go
+++ b/standin/errors.go
@@ -64,9 +64,9 @@
 	if errors.Is(err, context.Canceled) {
 		return cancelledError()
 	}
-	var known *pgError
-	if errors.As(err, &known) {
-		return known
+	var pgErr *pgError
+	if errors.As(err, &pgErr) {
+		return pgErr
 	}
 	var failure sqlite3.Error
 	if !errors.As(err, &failure) {
@@ -109,7 +109,7 @@
 
 // codeOfMessage tells apart the errors that SQLite only describes in words.
 func codeOfMessage(message string) string {
-	known := []struct{ part, code string }{
+	codes := []struct{ part, code string }{
 		{"no such table", "42P01"},
 		{"no such column", "42703"},
 		{"no such function", "42883"},
@@ -117,7 +117,7 @@
 		{"syntax error", "42601"},
 		{"incomplete input", "42601"},
 	}
-	for _, k := range known {
+	for _, k := range codes {
 		if strings.Contains(message, k.part) {
 			return k.code
 		}
--- a/standin/execute.go
+++ b/standin/execute.go
@@ -20,14 +20,14 @@
 // rowSink sends the rows of one statement.
 type rowSink struct {
 	session *session
-	// describe asks for a RowDescription before the first row.
-	describe bool
-	formats  []int16
-	fields   []field
-	count    int
-	// keep collects encoded rows instead of sending them.
-	keep bool
-	kept [][]byte
+	// sendDescription asks for a RowDescription before the first row.
+	sendDescription bool
+	formats         []int16
+	fields          []field
+	rowCount        int
+	// buffering collects encoded rows instead of sending them.
+	buffering    bool
+	bufferedRows [][]byte
 }
 
 func (r *rowSink) format(column int) int16 {
@@ -47,7 +47,7 @@
 	if r.fields == nil {
 		r.fields = fields
 	}
-	if r.describe {
+	if r.sendDescription {
 		r.session.send(rowDescription(r.fields, r.formats))
 	}
 }
@@ -56,18 +56,18 @@
 // every read.
 func (r *rowSink) startStatus() {
 	r.fields = statusFields
-	if r.describe {
-		r.session.out = append(r.session.out, statusDescription...)
+	if r.sendDescription {
+		r.session.sendBuffer = append(r.session.sendBuffer, statusDescription...)
 	}
 }
 
 func (r *rowSink) row(values []driver.Value) error {
-	r.count++
-	if r.keep {
-		r.kept = append(r.kept, r.encode(nil, values))
+	r.rowCount++
+	if r.buffering {
+		r.bufferedRows = append(r.bufferedRows, r.encode(nil, values))
 		return nil
 	}
-	r.session.out = r.encode(r.session.out, values)
+	r.session.sendBuffer = r.encode(r.session.sendBuffer, values)
 	return r.session.flushIfLarge()
 }
 
@@ -104,13 +104,13 @@
 // prepared is a statement that SQLite has compiled on the session's
 // connection. Its metadata is read once.
 type prepared struct {
-	stmt     *sqlite3.SQLiteStmt
-	readOnly bool
-	inputs   int
-	fields   []field
-	declared []bool
-	known    bool
-	dest     []driver.Value
+	stmt            *sqlite3.SQLiteStmt
+	readOnly        bool
+	inputCount      int
+	fields          []field
+	hasDeclaredType []bool
+	described       bool
+	dest            []driver.Value
 }
 
 func (s *session) prepare(sql string) (*prepared, *pgError) {
@@ -128,14 +128,14 @@
 		s.dropPrepared()
 	}
 	stmt := compiled.(*sqlite3.SQLiteStmt)
-	p := &prepared{stmt: stmt, readOnly: stmt.Readonly(), inputs: stmt.NumInput()}
+	p := &prepared{stmt: stmt, readOnly: stmt.Readonly(), inputCount: stmt.NumInput()}
 	s.prepared[sql] = p
 	return p, nil
 }
 
 // execute runs one statement of any kind and returns its command tag.
 func (s *session) execute(st *statement, args []any, sink *rowSink) (string, *pgError) {
-	if tag, failure, done := s.control(st); done {
+	if tag, failure, done := s.executeTransactionStatement(st); done {
 		return tag, failure
 	}
 	call, isCall, failure := parseCall(st, args)
@@ -149,16 +149,16 @@
 		return "", failedTransaction()
 	}
 	if pid, isActivity := activityQuery(st); isActivity {
-		return s.activity(pid, sink)
+		return s.queryActivity(pid, sink)
 	}
-	if tag, failure, done := s.utility(st, sink); done {
+	if tag, failure, done := s.executeSessionStatement(st, sink); done {
 		return tag, failure
 	}
-	return s.executeInDatabase(st, args, sink)
+	return s.executeInSQLite(st, args, sink)
 }
 
-// utility runs statements about the session. It returns false for others.
-func (s *session) utility(st *statement, sink *rowSink) (string, *pgError, bool) {
+// executeSessionStatement runs statements about the session. It returns false for others.
+func (s *session) executeSessionStatement(st *statement, sink *rowSink) (string, *pgError, bool) {
 	var tag string
 	var failure *pgError
 	switch st.keyword {
@@ -223,7 +223,7 @@
 	return "DEALLOCATE", nil
 }
 
-func (s *session) executeInDatabase(st *statement, args []any, sink *rowSink) (string, *pgError) {
+func (s *session) executeInSQLite(st *statement, args []any, sink *rowSink) (string, *pgError) {
 	s.server.statements.Add(1)
 	p, failure := s.prepare(st.sql)
 	if failure != nil {
@@ -234,41 +234,41 @@
 			return "", failure
 		}
 	}
-	if failure := s.takeSlot(!p.readOnly); failure != nil {
+	if failure := s.acquireSlot(!p.readOnly); failure != nil {
 		return "", failure
 	}
 	defer s.server.slots.release()
-	if failure := s.enter(st, p); failure != nil {
+	if failure := s.beginIfNeeded(st, p); failure != nil {
 		return "", failure
 	}
-	if failure := s.serviceTime(); failure != nil {
+	if failure := s.simulateServiceTime(); failure != nil {
 		return "", failure
 	}
 	return s.runPrepared(st, p, args, sink)
 }
 
-func (s *session) enter(st *statement, p *prepared) *pgError {
+func (s *session) beginIfNeeded(st *statement, p *prepared) *pgError {
 	if !p.readOnly {
 		return s.beginWrite(st.keyword)
 	}
 	if s.tx.explicit {
-		return s.beginInDatabase()
+		return s.beginInSQLite()
 	}
 	return nil
 }
 
 func (s *session) runPrepared(st *statement, p *prepared, args []any, sink *rowSink) (string, *pgError) {
-	named := namedValues(args, p.inputs)
+	named := namedValues(args, p.inputCount)
 	if p.readOnly || st.returnsRows() {
 		if failure := s.query(st, p, named, sink); failure != nil {
 			return "", failure
 		}
 		s.logStatement(st, p, args)
-		return commandTag(st, sink.count), nil
+		return commandTag(st, sink.rowCount), nil
 	}
 	result, err := p.stmt.ExecContext(s.ctx, named)
 	if err != nil {
-		return "", s.failure(err)
+		return "", s.statementError(err)
 	}
 	s.logStatement(st, p, args)
 	affected, _ := result.RowsAffected()
@@ -278,29 +278,29 @@
 func (s *session) query(st *statement, p *prepared, args []driver.NamedValue, sink *rowSink) *pgError {
 	result, err := p.stmt.QueryContext(s.ctx, args)
 	if err != nil {
-		return s.failure(err)
+		return s.statementError(err)
 	}
 	rows := result.(*sqlite3.SQLiteRows)
 	defer rows.Close()
-	p.describe(rows)
+	p.readColumns(rows)
 	if len(p.fields) == 0 {
-		return s.drain(rows)
+		return s.runWithoutColumns(rows)
 	}
 	return s.sendRows(st, p, rows, sink)
 }
 
-// failure maps an error of a running statement. A cancelled statement may fail
+// statementError maps an error of a running statement. A cancelled statement may fail
 // in several ways, depending on where the cancel hits it.
-func (s *session) failure(err error) *pgError {
+func (s *session) statementError(err error) *pgError {
 	if s.ctx.Err() != nil {
 		return cancelledError()
 	}
 	return databaseError(err)
 }
 
-func (s *session) drain(rows *sqlite3.SQLiteRows) *pgError {
+func (s *session) runWithoutColumns(rows *sqlite3.SQLiteRows) *pgError {
 	if err := rows.Next(nil); err != nil && !errors.Is(err, io.EOF) {
-		return s.failure(err)
+		return s.statementError(err)
 	}
 	return nil
 }
@@ -308,55 +308,55 @@
 func (s *session) sendRows(st *statement, p *prepared, rows *sqlite3.SQLiteRows, sink *rowSink) *pgError {
 	err := rows.Next(p.dest)
 	if err != nil && !errors.Is(err, io.EOF) {
-		return s.failure(err)
+		return s.statementError(err)
 	}
 	if sink.fields == nil {
-		sink.start(s.observedFields(st, p, err == nil))
+		sink.start(s.fieldsFromFirstRow(st, p, err == nil))
 	} else {
 		sink.start(nil)
 	}
 	for err == nil {
 		if err := sink.row(p.dest); err != nil {
-			return s.failure(err)
+			return s.statementError(err)
 		}
 		err = rows.Next(p.dest)
 	}
 	if !errors.Is(err, io.EOF) {
-		return s.failure(err)
+		return s.statementError(err)
 	}
 	return nil
 }
 
-// describe reads the column names and declared types once.
-func (p *prepared) describe(rows *sqlite3.SQLiteRows) {
-	if p.known {
+// readColumns reads the column names and declared types once.
+func (p *prepared) readColumns(rows *sqlite3.SQLiteRows) {
+	if p.described {
 		return
 	}
-	p.known = true
+	p.described = true
 	names, types := rows.Columns(), rows.DeclTypes()
 	p.fields = make([]field, len(names))
-	p.declared = make([]bool, len(names))
+	p.hasDeclaredType = make([]bool, len(names))
 	p.dest = make([]driver.Value, len(names))
 	for i, name := range names {
-		p.declared[i] = types[i] != ""
+		p.hasDeclaredType[i] = types[i] != ""
 		p.fields[i] = field{name: name, oid: oidOfDeclared(types[i])}
 	}
 }
 
-// observedFields types the columns of expressions by the first row's values,
+// fieldsFromFirstRow types the columns of expressions by the first row's values,
 // or by their text if there is no row.
-func (s *session) observedFields(st *statement, p *prepared, row bool) []field {
+func (s *session) fieldsFromFirstRow(st *statement, p *prepared, hasRow bool) []field {
 	fields := append([]field{}, p.fields...)
 	for i := range fields {
-		if p.declared[i] || !row {
+		if p.hasDeclaredType[i] || !hasRow {
 			continue
 		}
 		if oid := oidOfValue(p.dest[i]); oid != 0 {
 			fields[i].oid = oid
 		}
 	}
-	if !row {
-		s.guessFields(st, p, nil, fields)
+	if !hasRow {
+		s.inferFieldTypes(st, p, nil, fields)
 	}
 	return fields
 }
@@ -381,7 +381,7 @@
 	}
 	logged := loggedStatement{SQL: st.sql, Schema: st.changesSchema()}
 	for _, arg := range args {
-		logged.Args = append(logged.Args, logValue(arg))
+		logged.Args = append(logged.Args, toLoggedValue(arg))
 	}
 	s.tx.statements = append(s.tx.statements, logged)
 }
--- a/standin/extended.go
+++ b/standin/extended.go
@@ -16,18 +16,18 @@
 // portal is a bound statement. After an Execute with a row limit, kept holds
 // the rows that are still to be sent.
 type portal struct {
-	statement *namedStatement
-	args      []any
-	formats   []int16
-	ran       bool
-	kept      [][]byte
-	tag       string
+	statement   *namedStatement
+	args        []any
+	formats     []int16
+	executed    bool
+	pendingRows [][]byte
+	tag         string
 }
 
 // simpleQuery runs the statements of a Query message.
 func (s *session) simpleQuery(query string) error {
-	s.skipping = false
-	statements := s.parse(query)
+	s.skippingToSync = false
+	statements := s.parseCached(query)
 	if len(statements) == 0 {
 		s.send(&pgproto3.EmptyQueryResponse{})
 	}
@@ -52,10 +52,10 @@
 		s.tx = transaction{}
 	}
 	clear(s.portals)
-	s.ready()
+	s.sendReadyForQuery()
 }
 
-func (s *session) parse(query string) []*statement {
+func (s *session) parseCached(query string) []*statement {
 	if statements, ok := s.queries[query]; ok {
 		return statements
 	}
@@ -73,13 +73,13 @@
 	if st.parameters > 0 {
 		return &pgError{Code: "42P02", Message: "there is no parameter $1"}
 	}
-	sink := &rowSink{session: s, describe: true}
+	sink := &rowSink{session: s, sendDescription: true}
 	tag, failure := s.execute(st, nil, sink)
 	if failure != nil {
 		return failure
 	}
 	if last && !s.tx.explicit {
-		if failure := s.endImplicit(); failure != nil {
+		if failure := s.commitImplicit(); failure != nil {
 			return failure
 		}
 	}
@@ -89,18 +89,18 @@
 
 // sync ends a sequence of extended messages.
 func (s *session) sync() error {
-	s.skipping = false
-	if failure := s.endImplicit(); failure != nil {
+	s.skippingToSync = false
+	if failure := s.commitImplicit(); failure != nil {
 		s.send(failure.response())
 	}
 	if !s.tx.explicit {
 		clear(s.portals)
 	}
-	s.ready()
+	s.sendReadyForQuery()
 	return s.flushIfLarge()
 }
 
-func (s *session) extended(message pgproto3.FrontendMessage) *pgError {
+func (s *session) handleExtended(message pgproto3.FrontendMessage) *pgError {
 	switch message := message.(type) {
 	case *pgproto3.Parse:
 		return s.parseMessage(message)
@@ -120,7 +120,7 @@
 	if message.Name != "" && s.statements[message.Name] != nil {
 		return &pgError{Code: "42P05", Message: "prepared statement " + message.Name + " already exists"}
 	}
-	statements := s.parse(message.Query)
+	statements := s.parseCached(message.Query)
 	if len(statements) > 1 {
 		return &pgError{Code: "42601", Message: "cannot insert multiple commands into a prepared statement"}
 	}
@@ -139,7 +139,7 @@
 
 // checkParse reports errors in the text early, as PostgreSQL does.
 func (s *session) checkParse(st *statement) *pgError {
-	if !inDatabase(st) {
+	if !runsInSQLite(st) {
 		return nil
 	}
 	if s.tx.failed {
@@ -149,8 +149,8 @@
 	return failure
 }
 
-// inDatabase reports whether SQLite runs the statement.
-func inDatabase(st *statement) bool {
+// hasSQLiteTransaction reports whether SQLite runs the statement.
+func runsInSQLite(st *statement) bool {
 	switch st.keyword {
 	case "BEGIN", "START", "COMMIT", "END", "ROLLBACK", "ABORT", "SAVEPOINT", "RELEASE",
 		"SET", "SHOW", "RESET", "DISCARD", "DEALLOCATE":
@@ -223,12 +223,12 @@
 		s.send(&pgproto3.EmptyQueryResponse{})
 		return nil
 	}
-	if !p.ran {
+	if !p.executed {
 		if failure := s.runPortal(p, message.MaxRows > 0); failure != nil {
 			return failure
 		}
 	}
-	s.sendKept(p, int(message.MaxRows))
+	s.sendPendingRows(p, int(message.MaxRows))
 	return nil
 }
 
@@ -237,24 +237,24 @@
 	if failure != nil && !s.tx.failed {
 		return failure
 	}
-	p.ran = true
-	sink := &rowSink{session: s, formats: p.formats, fields: fields, keep: limited}
+	p.executed = true
+	sink := &rowSink{session: s, formats: p.formats, fields: fields, buffering: limited}
 	tag, failure := s.execute(p.statement.st, p.args, sink)
-	p.tag, p.kept = tag, sink.kept
+	p.tag, p.pendingRows = tag, sink.bufferedRows
 	return failure
 }
 
-// sendKept sends rows that were held back by a row limit, up to the limit.
-func (s *session) sendKept(p *portal, limit int) {
-	n := len(p.kept)
+// sendPendingRows sends rows that were held back by a row limit, up to the limit.
+func (s *session) sendPendingRows(p *portal, limit int) {
+	n := len(p.pendingRows)
 	if limit > 0 {
 		n = min(n, limit)
 	}
-	for _, row := range p.kept[:n] {
-		s.out = append(s.out, row...)
+	for _, row := range p.pendingRows[:n] {
+		s.sendBuffer = append(s.sendBuffer, row...)
 	}
-	p.kept = p.kept[n:]
-	if len(p.kept) > 0 {
+	p.pendingRows = p.pendingRows[n:]
+	if len(p.pendingRows) > 0 {
 		s.send(&pgproto3.PortalSuspended{})
 		return
 	}
--- a/standin/failover_test.go
+++ b/standin/failover_test.go
@@ -13,12 +13,12 @@
 	"lovageslip/upstream"
 )
 
-// changingGroup is a group whose primary is replaced while writers run.
-type changingGroup struct {
+// failoverGroup is a group whose primary is replaced while writers run.
+type failoverGroup struct {
 	servers []*Server
 	primary atomic.Pointer[Server]
-	next    atomic.Int64
-	done    atomic.Bool
+	lastID  atomic.Int64
+	stopped atomic.Bool
 	mu      sync.Mutex
 	// confirmed lists the rows that a majority held under one term. mu
 	// guards it.
@@ -27,21 +27,21 @@
 
 // write inserts rows into whichever server is the primary and notes those that
 // a second server holds, as the owner of a primary does.
-func (g *changingGroup) write(ctx context.Context) {
-	for !g.done.Load() {
+func (g *failoverGroup) write(ctx context.Context) {
+	for !g.stopped.Load() {
 		server := g.primary.Load()
 		conn, err := pgconn.Connect(ctx, "postgres://u@"+server.Address()+"/db")
 		if err != nil {
 			continue
 		}
-		for g.writeRow(ctx, server, conn) && !g.done.Load() {
+		for g.writeRow(ctx, server, conn) && !g.stopped.Load() {
 		}
 		conn.Close(ctx)
 	}
 }
 
-func (g *changingGroup) writeRow(ctx context.Context, server *Server, conn *pgconn.PgConn) bool {
-	id := g.next.Add(1)
+func (g *failoverGroup) writeRow(ctx context.Context, server *Server, conn *pgconn.PgConn) bool {
+	id := g.lastID.Add(1)
 	before := server.Status()
 	_, err := conn.ExecParams(ctx, "INSERT INTO v VALUES ($1::int8)", [][]byte{appendText(nil, id, oidInt8)}, nil, nil, nil).Close()
 	if err != nil {
@@ -54,7 +54,7 @@
 	}
 	position := after.Position()
 	for range 50 {
-		if g.held(server, position) {
+		if g.isReplicated(server, position) {
 			g.mu.Lock()
 			g.confirmed = append(g.confirmed, id)
 			g.mu.Unlock()
@@ -65,7 +65,7 @@
 	return false
 }
 
-func (g *changingGroup) held(writer *Server, p upstream.Position) bool {
+func (g *failoverGroup) isReplicated(writer *Server, p upstream.Position) bool {
 	for _, s := range g.servers {
 		status := s.Status()
 		if s != writer && status.Term == p.Term && status.Fenced == p.Term && status.Includes(p) {
@@ -75,31 +75,31 @@
 	return false
 }
 
-// change replaces the primary at a term, while the old one may be cut off.
-func (g *changingGroup) change(t *testing.T, term int) {
+// failOver replaces the primary at a term, while the old one may be cut off.
+func (g *failoverGroup) failOver(t *testing.T, term int) {
 	t.Helper()
-	old := g.primary.Load()
+	oldPrimary := g.primary.Load()
 	var chosen *Server
 	for _, s := range g.servers {
-		if s == old {
+		if s == oldPrimary {
 			continue
 		}
-		command(t, s, "fence(%d)", term)
-		if chosen == nil || ahead(s.Status(), chosen.Status()) {
+		callServerFunction(t, s, "fence(%d)", term)
+		if chosen == nil || logIsAhead(s.Status(), chosen.Status()) {
 			chosen = s
 		}
 	}
-	command(t, chosen, "promote(%d)", term)
+	callServerFunction(t, chosen, "promote(%d)", term)
 	g.primary.Store(chosen)
 	for _, s := range g.servers {
 		if s != chosen {
-			command(t, s, "follow(%d, '%s')", term, chosen.Address())
+			callServerFunction(t, s, "follow(%d, '%s')", term, chosen.Address())
 		}
 	}
 }
 
-// ahead compares the ends of two logs by the last term in their history.
-func ahead(a, b upstream.Status) bool {
+// logIsAhead compares the ends of two logs by the last term in their history.
+func logIsAhead(a, b upstream.Status) bool {
 	last := func(s upstream.Status) upstream.Position {
 		return upstream.Position{Term: s.History[len(s.History)-1].Term, Offset: s.Offset}
 	}
@@ -108,8 +108,8 @@
 
 // Guards against a confirmed row that a change of primary loses, and against
 // servers that differ afterwards.
-func TestConfirmedRowsSurviveChanges(t *testing.T) {
-	g := &changingGroup{servers: group(t, 2, Options{})}
+func TestConfirmedRowsSurviveFailover(t *testing.T) {
+	g := &failoverGroup{servers: startGroup(t, 2, Options{})}
 	g.primary.Store(g.servers[0])
 	run(t, dial(t, g.servers[0]), "CREATE TABLE v (id INTEGER PRIMARY KEY)")
 	ctx, cancel := context.WithCancel(t.Context())
@@ -119,11 +119,11 @@
 		writers.Go(func() { g.write(ctx) })
 	}
 	for term := 2; term < 12; term++ {
-		before := g.count()
-		eventually(t, "rows confirmed", func() bool { return g.count() > before+20 })
-		g.change(t, term)
+		before := g.confirmedCount()
+		eventually(t, "rows confirmed", func() bool { return g.confirmedCount() > before+20 })
+		g.failOver(t, term)
 	}
-	g.done.Store(true)
+	g.stopped.Store(true)
 	writers.Wait()
 	end := g.primary.Load().Status()
 	for _, s := range g.servers {
@@ -139,7 +139,7 @@
 	}
 }
 
-func (g *changingGroup) count() int {
+func (g *failoverGroup) confirmedCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.confirmed)
--- a/standin/fifo.go
+++ b/standin/fifo.go
@@ -6,45 +6,45 @@
 	"sync"
 )
 
-// fifo admits a number of holders at a time and queues the others in order of
+// fifoSemaphore admits a number of holders at a time and queues the others in order of
 // arrival. It is safe for concurrent use.
-type fifo struct {
+type fifoSemaphore struct {
 	// mu guards the fields below.
 	mu sync.Mutex
 	// capacity of 0 means no limit.
 	capacity int
-	held     int
+	inUse    int
 	waiting  list.List
 }
 
 // tryAcquire takes a place if there is one without waiting.
-func (f *fifo) tryAcquire() bool {
+func (f *fifoSemaphore) tryAcquire() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.tryLocked()
+	return f.tryAcquireLocked()
 }
 
-func (f *fifo) tryLocked() bool {
-	free := f.capacity == 0 || f.held < f.capacity && f.waiting.Len() == 0
+func (f *fifoSemaphore) tryAcquireLocked() bool {
+	free := f.capacity == 0 || f.inUse < f.capacity && f.waiting.Len() == 0
 	if free {
-		f.held++
+		f.inUse++
 	}
 	return free
 }
 
 // acquire waits for a place. It fails only when ctx ends.
-func (f *fifo) acquire(ctx context.Context) error {
+func (f *fifoSemaphore) acquire(ctx context.Context) error {
 	return f.enqueue(ctx, f.waiting.PushBack)
 }
 
 // acquireNext is acquire ahead of all that wait.
-func (f *fifo) acquireNext(ctx context.Context) error {
+func (f *fifoSemaphore) acquireNext(ctx context.Context) error {
 	return f.enqueue(ctx, f.waiting.PushFront)
 }
 
-func (f *fifo) enqueue(ctx context.Context, push func(any) *list.Element) error {
+func (f *fifoSemaphore) enqueue(ctx context.Context, push func(any) *list.Element) error {
 	f.mu.Lock()
-	if f.tryLocked() {
+	if f.tryAcquireLocked() {
 		f.mu.Unlock()
 		return nil
 	}
@@ -59,13 +59,13 @@
 	}
 }
 
-func (f *fifo) abandon(element *list.Element, granted chan struct{}, err error) error {
+func (f *fifoSemaphore) abandon(element *list.Element, granted chan struct{}, err error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	select {
 	case <-granted:
 		// The place was granted at the same moment; it goes to the next.
-		f.held--
+		f.inUse--
 		f.grant()
 	default:
 		f.waiting.Remove(element)
@@ -73,14 +73,14 @@
 	return err
 }
 
-func (f *fifo) release() {
+func (f *fifoSemaphore) release() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.held--
+	f.inUse--
 	f.grant()
 }
 
-func (f *fifo) setCapacity(capacity int) {
+func (f *fifoSemaphore) setCapacity(capacity int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.capacity = capacity
@@ -88,17 +88,17 @@
 }
 
 // grant hands free places to waiters. The caller holds mu.
-func (f *fifo) grant() {
-	for f.waiting.Len() > 0 && (f.capacity == 0 || f.held < f.capacity) {
+func (f *fifoSemaphore) grant() {
+	for f.waiting.Len() > 0 && (f.capacity == 0 || f.inUse < f.capacity) {
 		first := f.waiting.Front()
 		f.waiting.Remove(first)
-		f.held++
+		f.inUse++
 		close(first.Value.(chan struct{}))
 	}
 }
 
 // queued returns the number of waiters.
-func (f *fifo) queued() int {
+func (f *fifoSemaphore) queued() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.waiting.Len()
--- a/standin/functions.go
+++ b/standin/functions.go
@@ -70,7 +70,7 @@
 }
 
 func (s *session) callFunction(c call, sink *rowSink) (string, *pgError) {
-	status, failure := s.dispatch(c)
+	status, failure := s.runFunction(c)
 	if failure != nil {
 		return "", failure
 	}
@@ -81,7 +81,7 @@
 	return "SELECT 1", nil
 }
 
-func (s *session) dispatch(c call) (upstream.Status, *pgError) {
+func (s *session) runFunction(c call) (upstream.Status, *pgError) {
 	state := s.server.state
 	if c.name == statusFunction {
 		return state.status(), nil
--- a/standin/link.go
+++ b/standin/link.go
@@ -16,12 +16,12 @@
 // link is one connection of a replica to its primary. One goroutine pulls, the
 // other applies what was pulled once the lag has passed.
 type link struct {
-	server  *Server
-	target  target
-	conn    net.Conn
-	encoder *gob.Encoder
-	decoder *gob.Decoder
-	arrived chan struct{}
+	server     *Server
+	target     target
+	conn       net.Conn
+	encoder    *gob.Encoder
+	decoder    *gob.Decoder
+	pullQueued chan struct{}
 
 	// mu guards queue.
 	mu    sync.Mutex
@@ -30,19 +30,19 @@
 
 // pulled is an answered pull that waits for the replication lag.
 type pulled struct {
-	sent    time.Time
-	due     time.Time
+	sentAt  time.Time
+	dueAt   time.Time
 	entries []entry
 	history upstream.History
 	more    bool
 }
 
 func (l *link) run(ctx context.Context, cancel context.CancelFunc) error {
-	first, err := l.pull(pullRequest{First: true, History: l.target.history, From: l.target.offset})
+	firstReply, err := l.pull(pullRequest{First: true, History: l.target.history, From: l.target.offset})
 	if err != nil {
 		return err
 	}
-	if err := l.server.adopt(l.target, first); err != nil {
+	if err := l.server.alignLogWithPrimary(l.target, firstReply); err != nil {
 		return err
 	}
 	var tasks conc.WaitGroup
@@ -52,7 +52,7 @@
 			l.server.log.Warn("applying entries failed", "error", err)
 		}
 	})
-	err = l.fetch(ctx, first.Keep)
+	err = l.fetch(ctx, firstReply.Keep)
 	cancel()
 	tasks.Wait()
 	return err
@@ -71,41 +71,41 @@
 	if reply.Refused != "" {
 		return reply, &linkRefused{detail: reply.Refused}
 	}
-	l.server.state.heard(l.target.link)
+	l.server.state.recordContact(l.target.linkNumber)
 	return reply, nil
 }
 
 func (l *link) fetch(ctx context.Context, from upstream.Offset) error {
-	for ctx.Err() == nil && l.server.state.current(l.target.link) {
-		sent := time.Now()
+	for ctx.Err() == nil && l.server.state.isCurrentLink(l.target.linkNumber) {
+		sentAt := time.Now()
 		reply, err := l.pull(pullRequest{From: from})
 		if err != nil {
 			return err
 		}
 		from += upstream.Offset(len(reply.Entries))
 		due := time.Now().Add(time.Duration(l.server.lag.Load()))
-		l.push(pulled{sent: sent, due: due, entries: reply.Entries, history: reply.History, more: reply.More})
+		l.enqueue(pulled{sentAt: sentAt, dueAt: due, entries: reply.Entries, history: reply.History, more: reply.More})
 	}
 	return ctx.Err()
 }
 
-func (l *link) push(p pulled) {
+func (l *link) enqueue(p pulled) {
 	l.mu.Lock()
 	l.queue = append(l.queue, p)
 	l.mu.Unlock()
 	select {
-	case l.arrived <- struct{}{}:
+	case l.pullQueued <- struct{}{}:
 	default:
 	}
 }
 
-// due takes the pulls whose lag has passed, and returns how long to wait for
+// dequeueDue takes the pulls whose lag has passed, and returns how long to wait for
 // the next one; zero if the queue is empty.
-func (l *link) due(now time.Time) ([]pulled, time.Duration) {
+func (l *link) dequeueDue(now time.Time) ([]pulled, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
-	for n < len(l.queue) && !l.queue[n].due.After(now) {
+	for n < len(l.queue) && !l.queue[n].dueAt.After(now) {
 		n++
 	}
 	ready := l.queue[:n:n]
@@ -113,7 +113,7 @@
 	if len(l.queue) == 0 {
 		return ready, 0
 	}
-	return ready, l.queue[0].due.Sub(now)
+	return ready, l.queue[0].dueAt.Sub(now)
 }
 
 func (l *link) apply(ctx context.Context) error {
@@ -123,9 +123,9 @@
 	}
 	defer db.Close()
 	for ctx.Err() == nil {
-		ready, wait := l.due(time.Now())
+		ready, wait := l.dequeueDue(time.Now())
 		if len(ready) == 0 {
-			l.await(ctx, wait)
+			l.waitForPull(ctx, wait)
 			continue
 		}
 		if err := l.server.applyPulled(db, l.target, ready); err != nil {
@@ -135,14 +135,14 @@
 	return nil
 }
 
-func (l *link) await(ctx context.Context, wait time.Duration) {
+func (l *link) waitForPull(ctx context.Context, wait time.Duration) {
 	if wait > 0 {
 		waitFor(ctx, nil, wait)
 		return
 	}
 	select {
 	case <-ctx.Done():
-	case <-l.arrived:
+	case <-l.pullQueued:
 	}
 }
 
@@ -150,7 +150,7 @@
 func (s *Server) applyPulled(db *sqlite3.SQLiteConn, t target, ready []pulled) error {
 	s.state.commit.Lock()
 	defer s.state.commit.Unlock()
-	if !s.state.current(t.link) {
+	if !s.state.isCurrentLink(t.linkNumber) {
 		return &linkRefused{detail: "target changed"}
 	}
 	var entries []entry
@@ -161,27 +161,27 @@
 		if err := applyEntries(db, entries); err != nil {
 			return err
 		}
-		s.noteSchemaChanges(entries)
+		s.recordSchemaChanges(entries)
 	}
 	last := ready[len(ready)-1]
 	s.state.mu.Lock()
 	defer s.state.mu.Unlock()
 	s.state.log = append(s.state.log, entries...)
 	if !last.more {
-		s.state.fresh = last.sent
+		s.state.upToDateAt = last.sentAt
 	}
-	s.state.adoptHistory(last.history)
+	s.state.updateHistory(last.history)
 	if len(entries) > 0 {
 		s.state.notify()
 	}
 	return nil
 }
 
-func (s *Server) noteSchemaChanges(entries []entry) {
+func (s *Server) recordSchemaChanges(entries []entry) {
 	for _, e := range entries {
 		for _, logged := range e.Statements {
 			if logged.Schema {
-				s.store.schemaChanged()
+				s.store.incrementSchemaVersion()
 				return
 			}
 		}
--- a/standin/messages.go
+++ b/standin/messages.go
@@ -22,9 +22,9 @@
 }
 
 const (
-	readBufferBytes = 8 << 10
-	maxMessageBytes = 64 << 20
-	keptBodyBytes   = 64 << 10
+	readBufferBytes      = 8 << 10
+	maxMessageBytes      = 64 << 20
+	maxRetainedBodyBytes = 64 << 10
 )
 
 func (m *messageReader) next() (byte, []byte, error) {
@@ -44,7 +44,7 @@
 }
 
 func (m *messageReader) buffer(n int) []byte {
-	if n > cap(m.body) || cap(m.body) > keptBodyBytes {
+	if n > cap(m.body) || cap(m.body) > maxRetainedBodyBytes {
 		m.body = make([]byte, max(n, readBufferBytes))
 	}
 	return m.body[:n]
--- a/standin/remote.go
+++ b/standin/remote.go
@@ -21,19 +21,19 @@
 	}
 	switch strings.TrimPrefix(name, controlPrefix) {
 	case "lag":
-		return true, withDuration(name, value, s.server.SetLag)
+		return true, applyDuration(name, value, s.server.SetLag)
 	case "service_time":
-		return true, withDuration(name, value, s.server.SetServiceTime)
+		return true, applyDuration(name, value, s.server.SetServiceTime)
 	case "connect_delay":
-		return true, withDuration(name, value, s.server.SetConnectDelay)
+		return true, applyDuration(name, value, s.server.SetConnectDelay)
 	case "slots":
-		return true, withNumber(name, value, s.server.SetSlots)
+		return true, applyNumber(name, value, s.server.SetSlots)
 	case "max_connections":
-		return true, withNumber(name, value, s.server.SetMaxConnections)
+		return true, applyNumber(name, value, s.server.SetMaxConnections)
 	case "replication_broken":
-		return true, withBool(name, value, s.server.SetReplicationBroken)
+		return true, applyBool(name, value, s.server.SetReplicationBroken)
 	case "frozen":
-		return true, withBool(name, value, s.freezeOthers)
+		return true, applyBool(name, value, s.freezeOthers)
 	}
 	return true, unknownSetting(name)
 }
@@ -43,32 +43,32 @@
 	s.frozen.Store(false)
 }
 
-func badSetting(name, value string) *pgError {
+func invalidSettingValue(name, value string) *pgError {
 	return &pgError{Code: codeInvalidParameter, Message: "invalid value for parameter " + name + ": " + strconv.Quote(value)}
 }
 
-func withDuration(name, value string, set func(time.Duration)) *pgError {
+func applyDuration(name, value string, set func(time.Duration)) *pgError {
 	d, err := time.ParseDuration(value)
 	if err != nil {
-		return badSetting(name, value)
+		return invalidSettingValue(name, value)
 	}
 	set(d)
 	return nil
 }
 
-func withNumber(name, value string, set func(int)) *pgError {
+func applyNumber(name, value string, set func(int)) *pgError {
 	n, err := strconv.Atoi(value)
 	if err != nil || n < 0 {
-		return badSetting(name, value)
+		return invalidSettingValue(name, value)
 	}
 	set(n)
 	return nil
 }
 
-func withBool(name, value string, set func(bool)) *pgError {
+func applyBool(name, value string, set func(bool)) *pgError {
 	on, failure := decodeTextBool(value)
 	if failure != nil {
-		return badSetting(name, value)
+		return invalidSettingValue(name, value)
 	}
 	set(on == int64(1))
 	return nil
--- a/standin/replicate.go
+++ b/standin/replicate.go
@@ -18,9 +18,9 @@
 	// replicationParameter in a start-up message asks for a replication link
 	// instead of a session.
 	replicationParameter = "replication"
-	pullHold             = 10 * time.Millisecond
+	longPollTimeout      = 10 * time.Millisecond
 	pullTimeout          = time.Second
-	relinkDelay          = 20 * time.Millisecond
+	reconnectDelay       = 20 * time.Millisecond
 	maxPullEntries       = 2000
 )
 
@@ -52,14 +52,14 @@
 func (e *linkRefused) Error() string { return "replication refused: " + e.detail }
 
 // serveReplica answers pulls on a replication link until it breaks.
-func (s *Server) serveReplica(run context.Context, conn net.Conn, reader *bufio.Reader) {
+func (s *Server) serveReplica(ctx context.Context, conn net.Conn, reader *bufio.Reader) {
 	decoder, encoder := gob.NewDecoder(reader), gob.NewEncoder(conn)
-	for run.Err() == nil {
+	for ctx.Err() == nil {
 		var request pullRequest
 		if err := decoder.Decode(&request); err != nil {
 			return
 		}
-		reply := s.state.answerPull(run, request)
+		reply := s.state.answerPull(ctx, request)
 		if err := encoder.Encode(reply); err != nil || reply.Refused != "" {
 			return
 		}
@@ -68,8 +68,8 @@
 
 // answerPull waits a little for new entries, so that a replica hears of them
 // without delay and still hears from its primary regularly.
-func (s *state) answerPull(run context.Context, request pullRequest) pullReply {
-	timer := time.NewTimer(pullHold)
+func (s *state) answerPull(ctx context.Context, request pullRequest) pullReply {
+	timer := time.NewTimer(longPollTimeout)
 	defer timer.Stop()
 	for {
 		reply, changed := s.pull(request)
@@ -80,7 +80,7 @@
 		case <-changed:
 		case <-timer.C:
 			return reply
-		case <-run.Done():
+		case <-ctx.Done():
 			return pullReply{Refused: "shutting down"}
 		}
 	}
@@ -128,24 +128,24 @@
 }
 
 // replicate follows whatever primary the state names until run ends.
-func (s *Server) replicate(run context.Context) {
-	for run.Err() == nil {
+func (s *Server) replicate(ctx context.Context) {
+	for ctx.Err() == nil {
 		target, changed := s.state.target()
-		if target.address == "" || s.linkBroken.Load() {
-			waitFor(run, changed, pullTimeout)
+		if target.address == "" || s.replicationBroken.Load() {
+			waitFor(ctx, changed, pullTimeout)
 			continue
 		}
-		err := s.followOnce(run, target)
+		err := s.runLink(ctx, target)
 		s.log.Debug("replication link ended", "primary", target.address, "error", err)
-		waitFor(run, nil, relinkDelay)
+		waitFor(ctx, nil, reconnectDelay)
 	}
 }
 
-func waitFor(run context.Context, changed <-chan struct{}, limit time.Duration) {
+func waitFor(ctx context.Context, changed <-chan struct{}, limit time.Duration) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
-	case <-run.Done():
+	case <-ctx.Done():
 	case <-changed:
 	case <-timer.C:
 	}
@@ -154,22 +154,22 @@
 // target is what a replica follows; it is valid while the state's link number
 // stays the same.
 type target struct {
-	address string
-	term    upstream.Term
-	link    uint64
-	history upstream.History
-	offset  upstream.Offset
+	address    string
+	term       upstream.Term
+	linkNumber uint64
+	history    upstream.History
+	offset     upstream.Offset
 }
 
 func (s *state) target() (target, <-chan struct{}) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	t := target{
-		address: s.primary,
-		term:    s.term,
-		link:    s.link,
-		history: s.history,
-		offset:  upstream.Offset(len(s.log)),
+		address:    s.primary,
+		term:       s.term,
+		linkNumber: s.linkNumber,
+		history:    s.history,
+		offset:     upstream.Offset(len(s.log)),
 	}
 	if s.role != upstream.RoleReplica {
 		t.address = ""
@@ -177,10 +177,10 @@
 	return t, s.changed
 }
 
-// followOnce runs one link: it finds the common prefix, discards what lies
+// runLink runs one link: it finds the common prefix, discards what lies
 // beyond it, then pulls until the link breaks or the target changes.
-func (s *Server) followOnce(run context.Context, t target) error {
-	ctx, cancel := context.WithCancel(run)
+func (s *Server) runLink(serverCtx context.Context, t target) error {
+	ctx, cancel := context.WithCancel(serverCtx)
 	defer cancel()
 	conn, err := s.dialPrimary(ctx, t.address)
 	if err != nil {
@@ -190,7 +190,7 @@
 	defer stop()
 	defer conn.Close()
 	l := &link{server: s, target: t, conn: conn, encoder: gob.NewEncoder(conn), decoder: gob.NewDecoder(conn)}
-	l.arrived = make(chan struct{}, 1)
+	l.pullQueued = make(chan struct{}, 1)
 	return l.run(ctx, cancel)
 }
 
@@ -215,11 +215,11 @@
 	return conn, nil
 }
 
-// adopt makes the replica's log and history a prefix of the primary's.
-func (s *Server) adopt(t target, reply pullReply) error {
+// alignLogWithPrimary makes the replica's log and history a prefix of the primary's.
+func (s *Server) alignLogWithPrimary(t target, reply pullReply) error {
 	s.state.commit.Lock()
 	defer s.state.commit.Unlock()
-	if !s.state.current(t.link) {
+	if !s.state.isCurrentLink(t.linkNumber) {
 		return &linkRefused{detail: "target changed"}
 	}
 	if reply.Keep < t.offset {
@@ -233,16 +233,16 @@
 	defer s.state.mu.Unlock()
 	if reply.Keep < t.offset {
 		s.state.log = slices.Clone(s.state.log[:reply.Keep])
-		s.state.fresh = time.Time{}
+		s.state.upToDateAt = time.Time{}
 	}
-	s.state.adoptHistory(reply.History)
+	s.state.updateHistory(reply.History)
 	s.state.notify()
 	return nil
 }
 
-// adoptHistory takes over the terms that have begun at or before the end of
+// updateHistory takes over the terms that have begun at or before the end of
 // the replica's log. The caller holds mu.
-func (s *state) adoptHistory(primary upstream.History) {
+func (s *state) updateHistory(primary upstream.History) {
 	end := upstream.Offset(len(s.log))
 	begun := 0
 	for begun < len(primary) && primary[begun].Start <= end {
@@ -253,16 +253,16 @@
 	}
 }
 
-func (s *state) current(link uint64) bool {
+func (s *state) isCurrentLink(link uint64) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.link == link
+	return s.linkNumber == link
 }
 
-func (s *state) heard(link uint64) {
+func (s *state) recordContact(link uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.link == link {
-		s.contact = time.Now()
+	if s.linkNumber == link {
+		s.lastContact = time.Now()
 	}
 }
--- a/standin/replicate_test.go
+++ b/standin/replicate_test.go
@@ -11,8 +11,8 @@
 	"lovageslip/upstream"
 )
 
-// group starts a primary and replicas that follow it.
-func group(t *testing.T, replicas int, options Options) []*Server {
+// startGroup starts a primary and replicas that follow it.
+func startGroup(t *testing.T, replicas int, options Options) []*Server {
 	t.Helper()
 	servers := []*Server{start(t, options)}
 	options.Primary = servers[0].Address()
@@ -22,12 +22,12 @@
 	return servers
 }
 
-func reaches(t *testing.T, s *Server, p upstream.Position) {
+func waitForPosition(t *testing.T, s *Server, p upstream.Position) {
 	t.Helper()
 	eventually(t, fmt.Sprintf("server includes %v", p), func() bool { return s.Status().Includes(p) })
 }
 
-func command(t *testing.T, s *Server, sql string, args ...any) {
+func callServerFunction(t *testing.T, s *Server, sql string, args ...any) {
 	t.Helper()
 	run(t, dial(t, s), fmt.Sprintf("SELECT * FROM lovageslip_"+sql, args...))
 }
@@ -36,41 +36,41 @@
 // passed, take writes, or report an age that doesn't cover the lag.
 func TestReplicationWithLag(t *testing.T) {
 	const lag = 50 * time.Millisecond
-	servers := group(t, 2, Options{Lag: lag})
+	servers := startGroup(t, 2, Options{Lag: lag})
 	primary := dial(t, servers[0])
 	began := time.Now()
 	run(t, primary, "CREATE TABLE v (id INTEGER PRIMARY KEY, n TEXT)")
 	run(t, primary, "INSERT INTO v VALUES ($1, $2)", 1, "a")
 	for _, replica := range servers[1:] {
-		reaches(t, replica, servers[0].Status().Position())
+		waitForPosition(t, replica, servers[0].Status().Position())
 		assert.Assert(t, time.Since(began) >= lag)
 		conn := dial(t, replica)
 		assert.Equal(t, value[string](t, conn, "SELECT n FROM v WHERE id = $1", 1), "a")
-		expectCode(t, conn, "25006", "INSERT INTO v VALUES (2, 'b')")
+		expectSQLState(t, conn, "25006", "INSERT INTO v VALUES (2, 'b')")
 		assert.Assert(t, replica.Status().DataAge >= lag)
 	}
 }
 
 // Guards against entries of a replaced primary that survive on it.
-func TestForkIsDiscarded(t *testing.T) {
-	servers := group(t, 2, Options{})
+func TestDivergedEntriesAreDiscarded(t *testing.T) {
+	servers := startGroup(t, 2, Options{})
 	old, chosen, other := servers[0], servers[1], servers[2]
 	conn := dial(t, old)
 	run(t, conn, "CREATE TABLE v (id INTEGER PRIMARY KEY, n TEXT)")
 	kept := old.Status().Position()
-	reaches(t, chosen, kept)
-	reaches(t, other, kept)
+	waitForPosition(t, chosen, kept)
+	waitForPosition(t, other, kept)
 	chosen.SetReplicationBroken(true)
 	other.SetReplicationBroken(true)
 	run(t, conn, "INSERT INTO v VALUES (1, 'forked')")
 	forked := old.Status().Position()
-	command(t, chosen, "fence(2)")
-	command(t, chosen, "promote(2)")
+	callServerFunction(t, chosen, "fence(2)")
+	callServerFunction(t, chosen, "promote(2)")
 	run(t, dial(t, chosen), "INSERT INTO v VALUES (1, 'kept'), (2, 'new')")
 	for _, s := range []*Server{old, other} {
 		s.SetReplicationBroken(false)
-		command(t, s, "follow(2, '%s')", chosen.Address())
-		reaches(t, s, chosen.Status().Position())
+		callServerFunction(t, s, "follow(2, '%s')", chosen.Address())
+		waitForPosition(t, s, chosen.Status().Position())
 		assert.Equal(t, value[string](t, dial(t, s), "SELECT n FROM v WHERE id = 1"), "kept")
 		assert.Assert(t, !s.Status().Includes(forked), "%+v", s.Status())
 		assert.Assert(t, s.Status().Includes(kept))
@@ -80,36 +80,36 @@
 // Guards against a fenced server that still applies, commits or follows a
 // lower term.
 func TestFenceStopsLowerTerm(t *testing.T) {
-	servers := group(t, 2, Options{})
+	servers := startGroup(t, 2, Options{})
 	conn := dial(t, servers[0])
 	run(t, conn, "CREATE TABLE v (id INTEGER PRIMARY KEY)")
-	reaches(t, servers[1], servers[0].Status().Position())
-	reaches(t, servers[2], servers[0].Status().Position())
-	command(t, servers[1], "fence(2)")
+	waitForPosition(t, servers[1], servers[0].Status().Position())
+	waitForPosition(t, servers[2], servers[0].Status().Position())
+	callServerFunction(t, servers[1], "fence(2)")
 	fenced := servers[1].Status().Offset
 	run(t, conn, "INSERT INTO v VALUES (1)")
-	reaches(t, servers[2], servers[0].Status().Position())
+	waitForPosition(t, servers[2], servers[0].Status().Position())
 	assert.Equal(t, servers[1].Status().Offset, fenced)
-	expectCode(t, dial(t, servers[1]), "55L01", "SELECT * FROM lovageslip_follow(1, '"+servers[0].Address()+"')")
-	expectCode(t, dial(t, servers[1]), "55L01", "SELECT * FROM lovageslip_fence(1)")
+	expectSQLState(t, dial(t, servers[1]), "55L01", "SELECT * FROM lovageslip_follow(1, '"+servers[0].Address()+"')")
+	expectSQLState(t, dial(t, servers[1]), "55L01", "SELECT * FROM lovageslip_fence(1)")
 	run(t, conn, "BEGIN; INSERT INTO v VALUES (2)")
-	command(t, servers[0], "fence(2)")
-	expectCode(t, conn, "25006", "COMMIT")
-	expectCode(t, conn, "25006", "INSERT INTO v VALUES (3)")
+	callServerFunction(t, servers[0], "fence(2)")
+	expectSQLState(t, conn, "25006", "COMMIT")
+	expectSQLState(t, conn, "25006", "INSERT INTO v VALUES (3)")
 	assert.Equal(t, value[int64](t, conn, "SELECT count(*) FROM v"), int64(1))
 }
 
 // Guards against state that is lost when a server restarts.
-func TestRestartKeepsLogAndPromise(t *testing.T) {
-	servers := group(t, 1, Options{})
+func TestRestartKeepsLogAndFencedTerm(t *testing.T) {
+	servers := startGroup(t, 1, Options{})
 	run(t, dial(t, servers[0]), "CREATE TABLE v (id INTEGER PRIMARY KEY)")
-	reaches(t, servers[1], servers[0].Status().Position())
+	waitForPosition(t, servers[1], servers[0].Status().Position())
 	servers[0].Kill()
 	assert.NilError(t, servers[0].Restart())
 	conn := dial(t, servers[0])
 	run(t, conn, "INSERT INTO v VALUES (1)")
-	reaches(t, servers[1], servers[0].Status().Position())
-	command(t, servers[1], "fence(5)")
+	waitForPosition(t, servers[1], servers[0].Status().Position())
+	callServerFunction(t, servers[1], "fence(5)")
 	servers[1].Kill()
 	assert.NilError(t, servers[1].Restart())
 	assert.Equal(t, servers[1].Status().Fenced, upstream.Term(5))
@@ -117,7 +117,7 @@
 
 // Guards against a wait that ends early or not at all.
 func TestWaitForPosition(t *testing.T) {
-	servers := group(t, 1, Options{})
+	servers := startGroup(t, 1, Options{})
 	conn := dial(t, servers[1])
 	run(t, conn, "SELECT * FROM lovageslip_wait(1, 1, 1)")
 	assert.Equal(t, servers[1].Status().Offset, upstream.Offset(0))
@@ -132,8 +132,8 @@
 }
 
 // Guards against an age that stands still while the primary is unreachable.
-func TestAgeGrowsWithoutPrimary(t *testing.T) {
-	servers := group(t, 1, Options{})
+func TestDataAgeGrowsWithoutPrimary(t *testing.T) {
+	servers := startGroup(t, 1, Options{})
 	replica := servers[1]
 	eventually(t, "replica in step", func() bool { return replica.Status().DataAge < time.Second })
 	servers[0].Kill()
@@ -166,7 +166,7 @@
 
 // Guards against a server in another process that tests can't control.
 func TestControlBySetting(t *testing.T) {
-	servers := group(t, 1, Options{})
+	servers := startGroup(t, 1, Options{})
 	replica := dial(t, servers[1])
 	run(t, replica, "SET standin.lag = '50ms'")
 	run(t, replica, "SET standin.replication_broken = on")
@@ -174,7 +174,7 @@
 	run(t, replica, "SELECT * FROM lovageslip_wait(1, 1, 30)")
 	assert.Equal(t, servers[1].Status().Offset, upstream.Offset(0))
 	run(t, replica, "SET standin.replication_broken = off")
-	reaches(t, servers[1], servers[0].Status().Position())
+	waitForPosition(t, servers[1], servers[0].Status().Position())
 	other := dial(t, servers[1])
 	run(t, replica, "SET standin.frozen = on")
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
@@ -182,5 +182,5 @@
 	_, err := other.Exec(ctx, "SELECT 1")
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	run(t, replica, "SELECT 1")
-	expectCode(t, replica, "22023", "SET standin.slots = 'many'")
+	expectSQLState(t, replica, "22023", "SET standin.slots = 'many'")
 }
--- a/standin/server.go
+++ b/standin/server.go
@@ -18,11 +18,11 @@
 const startupTimeout = 10 * time.Second
 
 // accept takes connections until the listener closes.
-func (s *Server) accept(run context.Context, listener net.Listener) {
+func (s *Server) accept(ctx context.Context, listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
-			if run.Err() == nil && !errors.Is(err, net.ErrClosed) {
+			if ctx.Err() == nil && !errors.Is(err, net.ErrClosed) {
 				s.log.Warn("accepting a connection failed", "error", err)
 			}
 			return
@@ -33,7 +33,7 @@
 		}
 		s.tasks.Go(func() {
 			defer s.untrack(conn)
-			s.serve(run, conn)
+			s.serve(ctx, conn)
 		})
 	}
 }
@@ -63,7 +63,7 @@
 )
 
 // serve handles a connection by what its start-up packet asks for.
-func (s *Server) serve(run context.Context, conn net.Conn) {
+func (s *Server) serve(ctx context.Context, conn net.Conn) {
 	_ = conn.SetDeadline(time.Now().Add(startupTimeout))
 	reader := bufio.NewReaderSize(conn, readBufferBytes)
 	for {
@@ -92,7 +92,7 @@
 			}
 			return
 		default:
-			s.serveStartup(run, conn, reader, body)
+			s.serveStartup(ctx, conn, reader, body)
 			return
 		}
 	}
@@ -133,36 +133,36 @@
 	return body, err
 }
 
-func (s *Server) serveStartup(run context.Context, conn net.Conn, reader *bufio.Reader, body []byte) {
+func (s *Server) serveStartup(ctx context.Context, conn net.Conn, reader *bufio.Reader, body []byte) {
 	var startup pgproto3.StartupMessage
 	if err := startup.Decode(body); err != nil {
 		return
 	}
 	if startup.Parameters[replicationParameter] != "" {
 		_ = conn.SetDeadline(time.Time{})
-		s.serveReplica(run, conn, reader)
+		s.serveReplica(ctx, conn, reader)
 		return
 	}
-	if delay := time.Duration(s.delay.Load()); delay > 0 {
-		waitFor(run, nil, delay)
+	if delay := time.Duration(s.connectDelay.Load()); delay > 0 {
+		waitFor(ctx, nil, delay)
 	}
-	open := newSession(s, run, conn, reader, startup.Parameters)
-	if refused := open.authenticate(startup.Parameters["user"]); refused != nil {
-		open.fatal(refused)
+	sess := newSession(s, ctx, conn, reader, startup.Parameters)
+	if refused := sess.authenticate(startup.Parameters["user"]); refused != nil {
+		sess.sendFatal(refused)
 		return
 	}
 	_ = conn.SetDeadline(time.Time{})
-	if refused := s.register(open); refused != nil {
-		open.fatal(refused)
+	if refused := s.register(sess); refused != nil {
+		sess.sendFatal(refused)
 		return
 	}
-	defer s.unregister(open)
-	if err := open.serve(); err != nil {
-		s.log.Debug("session ended", "pid", open.pid, "error", err)
+	defer s.unregister(sess)
+	if err := sess.serve(); err != nil {
+		s.log.Debug("session ended", "pid", sess.pid, "error", err)
 	}
 }
 
-func (s *Server) register(open *session) *pgError {
+func (s *Server) register(sess *session) *pgError {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	limit := int(s.maxSessions.Load())
@@ -174,17 +174,17 @@
 		return &pgError{Code: codeShutdown, Severity: "FATAL", Message: "the server is shutting down"}
 	}
 	s.nextPID++
-	open.pid = s.nextPID
-	open.secret = binary.BigEndian.AppendUint32(nil, rand.Uint32())
-	s.sessions[open.pid] = open
+	sess.pid = s.nextPID
+	sess.secret = binary.BigEndian.AppendUint32(nil, rand.Uint32())
+	s.sessions[sess.pid] = sess
 	return nil
 }
 
-func (s *Server) unregister(open *session) {
+func (s *Server) unregister(sess *session) {
 	s.mu.Lock()
-	delete(s.sessions, open.pid)
+	delete(s.sessions, sess.pid)
 	s.mu.Unlock()
-	open.end()
+	sess.end()
 }
 
 // cancel interrupts what the named session is running.
@@ -194,10 +194,10 @@
 		return
 	}
 	s.mu.Lock()
-	open := s.sessions[request.ProcessID]
+	sess := s.sessions[request.ProcessID]
 	s.mu.Unlock()
-	if open != nil && bytes.Equal(request.SecretKey, open.secret) {
-		open.interrupt()
+	if sess != nil && bytes.Equal(request.SecretKey, sess.secret) {
+		sess.interrupt()
 	}
 }
 
@@ -206,10 +206,10 @@
 func (s *Server) closeTransactions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, open := range s.sessions {
-		if open.inDatabase.Load() {
-			open.interrupt()
-			open.conn.Close()
+	for _, sess := range s.sessions {
+		if sess.hasSQLiteTransaction.Load() {
+			sess.interrupt()
+			sess.conn.Close()
 		}
 	}
 }
--- a/standin/session.go
+++ b/standin/session.go
@@ -17,53 +17,53 @@
 )
 
 const (
-	flushBytes        = 32 << 10
-	frozenPoll        = 20 * time.Millisecond
-	maxCachedQueries  = 256
-	maxCachedPrepared = 256
+	flushBytes         = 32 << 10
+	frozenPollInterval = 20 * time.Millisecond
+	maxCachedQueries   = 256
+	maxCachedPrepared  = 256
 )
 
 // session is one client connection. One goroutine runs it; interrupt and the
 // atomic fields may be used by others.
 type session struct {
-	server *Server
-	conn   net.Conn
-	in     messageReader
-	out    []byte
-	pid    uint32
-	secret []byte
+	server     *Server
+	conn       net.Conn
+	reader     messageReader
+	sendBuffer []byte
+	pid        uint32
+	secret     []byte
 
-	frozen     atomic.Bool
-	inDatabase atomic.Bool
+	frozen               atomic.Bool
+	hasSQLiteTransaction atomic.Bool
 
-	run context.Context
+	serverCtx context.Context
 	// cancelMu guards the three fields below.
 	cancelMu sync.Mutex
 	busy     bool
 	ctx      context.Context
 	cancel   context.CancelFunc
 
-	db         *sqlite3.SQLiteConn
-	generation int
-	schema     uint64
-	prepared   map[string]*prepared
-	queries    map[string][]*statement
-
-	statements map[string]*namedStatement
-	portals    map[string]*portal
-	settings   settings
-	tx         transaction
-	skipping   bool
+	db            *sqlite3.SQLiteConn
+	generation    int
+	schemaVersion uint64
+	prepared      map[string]*prepared
+	queries       map[string][]*statement
+
+	statements     map[string]*namedStatement
+	portals        map[string]*portal
+	settings       settings
+	tx             transaction
+	skippingToSync bool
 	// describing is true while a statement is described, not run.
 	describing bool
 }
 
-func newSession(s *Server, run context.Context, conn net.Conn, reader *bufio.Reader, parameters map[string]string) *session {
+func newSession(s *Server, serverCtx context.Context, conn net.Conn, reader *bufio.Reader, parameters map[string]string) *session {
 	return &session{
 		server:     s,
 		conn:       conn,
-		in:         messageReader{r: reader},
-		run:        run,
+		reader:     messageReader{r: reader},
+		serverCtx:  serverCtx,
 		settings:   newSettings(parameters),
 		queries:    map[string][]*statement{},
 		prepared:   map[string]*prepared{},
@@ -74,64 +74,64 @@
 
 func (s *session) send(message pgproto3.BackendMessage) {
 	// Encode fails only for messages above 1 GiB.
-	if out, err := message.Encode(s.out); err == nil {
-		s.out = out
+	if out, err := message.Encode(s.sendBuffer); err == nil {
+		s.sendBuffer = out
 	}
 }
 
 // flush writes what has been sent. A frozen session keeps it back.
 func (s *session) flush() error {
 	for s.frozen.Load() {
-		if s.run.Err() != nil || peerClosed(s.conn) {
+		if s.serverCtx.Err() != nil || peerClosed(s.conn) {
 			return net.ErrClosed
 		}
-		waitFor(s.run, nil, frozenPoll)
+		waitFor(s.serverCtx, nil, frozenPollInterval)
 	}
-	if len(s.out) == 0 {
+	if len(s.sendBuffer) == 0 {
 		return nil
 	}
-	_, err := s.conn.Write(s.out)
-	s.out = s.out[:0]
-	if cap(s.out) > 4*flushBytes {
-		s.out = nil
+	_, err := s.conn.Write(s.sendBuffer)
+	s.sendBuffer = s.sendBuffer[:0]
+	if cap(s.sendBuffer) > 4*flushBytes {
+		s.sendBuffer = nil
 	}
 	return err
 }
 
 func (s *session) flushIfLarge() error {
-	if len(s.out) < flushBytes {
+	if len(s.sendBuffer) < flushBytes {
 		return nil
 	}
 	return s.flush()
 }
 
-// takeSlot waits for a slot, in order of arrival, and for the write lock if a
+// acquireSlot waits for a slot, in order of arrival, and for the write lock if a
 // write doesn't hold it yet. The lock is never waited for with a slot in hand,
 // because its holder may lack a slot to go on; and whoever got the lock is next
 // for a slot, because others wait for the lock.
-func (s *session) takeSlot(write bool) *pgError {
-	slots, writer := &s.server.slots, &s.server.writer
-	if failure := s.wait(slots.tryAcquire, slots.acquire); failure != nil {
+func (s *session) acquireSlot(write bool) *pgError {
+	slots, writer := &s.server.slots, &s.server.writeLock
+	if failure := s.acquireSemaphore(slots.tryAcquire, slots.acquire); failure != nil {
 		return failure
 	}
-	if !write || s.tx.writer {
+	if !write || s.tx.holdsWriteLock {
 		return nil
 	}
 	if writer.tryAcquire() {
-		s.tx.writer = true
+		s.tx.holdsWriteLock = true
 		return nil
 	}
 	slots.release()
-	if failure := s.wait(writer.tryAcquire, writer.acquire); failure != nil {
+	if failure := s.acquireSemaphore(writer.tryAcquire, writer.acquire); failure != nil {
 		return failure
 	}
-	s.tx.writer = true
-	return s.wait(slots.tryAcquire, slots.acquireNext)
+	s.tx.holdsWriteLock = true
+	return s.acquireSemaphore(slots.tryAcquire, slots.acquireNext)
 }
 
-// wait takes a place in one of the server's queues. Answers that are already
+// acquireSemaphore takes a place in one of the server's queues. Answers that are already
 // there are sent before a wait, so that the client learns of them.
-func (s *session) wait(try func() bool, acquire func(context.Context) error) *pgError {
+func (s *session) acquireSemaphore(try func() bool, acquire func(context.Context) error) *pgError {
 	if try() {
 		return nil
 	}
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// serviceTime spends the time that the server is set to take for a statement.
-func (s *session) serviceTime() *pgError {
+// simulateServiceTime spends the time that the server is set to take for a statement.
+func (s *session) simulateServiceTime() *pgError {
 	if limit := time.Duration(s.server.serviceTime.Load()); limit > 0 {
 		if err := s.flush(); err != nil {
 			return databaseError(err)
@@ -158,17 +158,17 @@
 	return nil
 }
 
-// fatal answers an error that ends the connection.
-func (s *session) fatal(err *pgError) {
+// sendFatal answers an error that ends the connection.
+func (s *session) sendFatal(err *pgError) {
 	err.Severity = "FATAL"
 	s.send(err.response())
 	_ = s.flush()
 }
 
 func (s *session) serve() error {
-	s.greet()
+	s.sendStartupMessages()
 	for {
-		if s.in.r.Buffered() == 0 {
+		if s.reader.r.Buffered() == 0 {
 			if err := s.flush(); err != nil {
 				return err
 			}
@@ -190,16 +190,16 @@
 // nextMessage waits for a message. A transaction that rests for too long ends
 // the session.
 func (s *session) nextMessage() (byte, []byte, error) {
-	limit := s.settings.rest()
+	limit := s.settings.idleInTransactionTimeout()
 	if limit == 0 || s.tx.status() == 'I' {
-		return s.in.next()
+		return s.reader.next()
 	}
 	if err := s.conn.SetReadDeadline(time.Now().Add(limit)); err != nil {
 		return 0, nil, err
 	}
-	kind, body, err := s.in.next()
+	kind, body, err := s.reader.next()
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		s.fatal(&pgError{Code: "25P03", Message: "terminating connection due to idle-in-transaction timeout"})
+		s.sendFatal(&pgError{Code: "25P03", Message: "terminating connection due to idle-in-transaction timeout"})
 		return 0, nil, err
 	}
 	if err != nil {
@@ -208,17 +208,17 @@
 	return kind, body, s.conn.SetReadDeadline(time.Time{})
 }
 
-func (s *session) greet() {
+func (s *session) sendStartupMessages() {
 	s.send(&pgproto3.AuthenticationOk{})
 	for _, name := range reportedSettings {
 		s.send(&pgproto3.ParameterStatus{Name: name, Value: s.settings.show(name)})
 	}
 	s.send(&pgproto3.BackendKeyData{ProcessID: s.pid, SecretKey: s.secret})
-	s.ready()
+	s.sendReadyForQuery()
 }
 
 func (s *session) handle(kind byte, body []byte) error {
-	message, err := s.in.decode(kind, body)
+	message, err := s.reader.decode(kind, body)
 	if err != nil {
 		return s.protocolError(err)
 	}
@@ -230,11 +230,11 @@
 	case *pgproto3.Flush:
 		return s.flush()
 	}
-	if s.skipping {
+	if s.skippingToSync {
 		return nil
 	}
-	if failure := s.extended(message); failure != nil {
-		s.skipping = true
+	if failure := s.handleExtended(message); failure != nil {
+		s.skippingToSync = true
 		s.fail(failure)
 	}
 	return s.flushIfLarge()
@@ -242,7 +242,7 @@
 
 func (s *session) protocolError(err error) error {
 	if failure, ok := err.(*pgError); ok {
-		s.fatal(failure)
+		s.sendFatal(failure)
 	}
 	return err
 }
@@ -253,7 +253,7 @@
 	s.abort()
 }
 
-func (s *session) ready() {
+func (s *session) sendReadyForQuery() {
 	s.setIdle()
 	s.send(&pgproto3.ReadyForQuery{TxStatus: s.tx.status()})
 }
@@ -263,7 +263,7 @@
 	defer s.cancelMu.Unlock()
 	s.busy = true
 	if s.ctx == nil || s.ctx.Err() != nil {
-		s.ctx, s.cancel = context.WithCancel(s.run)
+		s.ctx, s.cancel = context.WithCancel(s.serverCtx)
 	}
 }
 
@@ -313,14 +313,14 @@
 // openDatabase makes sure that the session has a connection to the current
 // database and no outdated descriptions. A transaction keeps its database.
 func (s *session) openDatabase() *pgError {
-	generation, schema := s.server.store.current()
-	if s.db != nil && s.generation != generation && !s.tx.began {
+	generation, schema := s.server.store.versions()
+	if s.db != nil && s.generation != generation && !s.tx.openInSQLite {
 		s.closeDatabase()
 	}
-	if s.db != nil && s.schema != schema {
+	if s.db != nil && s.schemaVersion != schema {
 		s.dropPrepared()
 	}
-	s.schema = schema
+	s.schemaVersion = schema
 	if s.db != nil {
 		return nil
 	}
--- a/standin/settings.go
+++ b/standin/settings.go
@@ -11,8 +11,8 @@
 
 const (
 	readOnlySetting = "default_transaction_read_only"
-	// restSetting is in milliseconds; 0 is no limit.
-	restSetting = "idle_in_transaction_session_timeout"
+	// idleInTransactionSetting is in milliseconds; 0 is no limit.
+	idleInTransactionSetting = "idle_in_transaction_session_timeout"
 )
 
 // reportedSettings are sent as ParameterStatus at the start and on change.
@@ -35,7 +35,7 @@
 	"standard_conforming_strings": "on",
 	"statement_timeout":           "0",
 	"lock_timeout":                "0",
-	restSetting:                   "0",
+	idleInTransactionSetting:      "0",
 	"timezone":                    "UTC",
 	"transaction_isolation":       "serializable",
 }
@@ -50,7 +50,7 @@
 	initial := maps.Clone(knownSettings)
 	for name, value := range startupSettings(parameters) {
 		name = strings.ToLower(name)
-		if _, known := initial[name]; known || strings.Contains(name, ".") {
+		if _, exists := initial[name]; exists || strings.Contains(name, ".") {
 			initial[name] = value
 		}
 	}
@@ -76,10 +76,10 @@
 
 func (s *settings) show(name string) string { return s.values[strings.ToLower(name)] }
 
-// rest is how long a transaction may rest between two statements; 0 for no
+// idleInTransactionTimeout is how long a transaction may rest between two statements; 0 for no
 // limit.
-func (s *settings) rest() time.Duration {
-	ms, err := strconv.Atoi(s.values[restSetting])
+func (s *settings) idleInTransactionTimeout() time.Duration {
+	ms, err := strconv.Atoi(s.values[idleInTransactionSetting])
 	if err != nil {
 		return 0
 	}
@@ -91,8 +91,8 @@
 // set changes a setting; DEFAULT returns it to its initial value.
 func (s *settings) set(name, value string) *pgError {
 	name = strings.ToLower(name)
-	_, known := s.values[name]
-	if !known && !strings.Contains(name, ".") {
+	_, exists := s.values[name]
+	if !exists && !strings.Contains(name, ".") {
 		return unknownSetting(name)
 	}
 	if strings.EqualFold(value, "default") {
@@ -120,7 +120,7 @@
 		words = words[1:]
 	}
 	if len(words) > 0 && words[0].is("TRANSACTION") {
-		s.setAccess(st)
+		s.setAccessMode(st)
 		return "SET", nil
 	}
 	if len(words) > 0 && words[0].is("CHARACTERISTICS") {
@@ -130,7 +130,7 @@
 	if !ok {
 		return "", &pgError{Code: "42601", Message: "syntax error in SET"}
 	}
-	return "SET", s.change(name, value)
+	return "SET", s.changeSetting(name, value)
 }
 
 func (s *session) setCharacteristics(st *statement) *pgError {
@@ -138,7 +138,7 @@
 	if st.word(len(st.tokens)-1) == "ONLY" {
 		value = "on"
 	}
-	return s.change(readOnlySetting, value)
+	return s.changeSetting(readOnlySetting, value)
 }
 
 // settingAssignment reads name TO value or name = value. A name may have
@@ -170,8 +170,8 @@
 	return text
 }
 
-// change sets a setting and reports it if its value is reported.
-func (s *session) change(name, value string) *pgError {
+// changeSetting sets a setting and reports it if its value is reported.
+func (s *session) changeSetting(name, value string) *pgError {
 	if applied, failure := s.controlServer(name, value); applied {
 		return failure
 	}
@@ -181,12 +181,12 @@
 	}
 	after := s.settings.show(name)
 	if after != before {
-		s.report(name, after)
+		s.reportSetting(name, after)
 	}
 	return nil
 }
 
-func (s *session) report(name, value string) {
+func (s *session) reportSetting(name, value string) {
 	for _, reported := range reportedSettings {
 		if strings.EqualFold(reported, name) {
 			s.send(&pgproto3.ParameterStatus{Name: reported, Value: value})
@@ -200,7 +200,7 @@
 		s.resetSettings()
 		return "RESET", nil
 	}
-	return "RESET", s.change(st.word(1), "default")
+	return "RESET", s.changeSetting(st.word(1), "default")
 }
 
 func (s *session) resetSettings() {
@@ -212,7 +212,7 @@
 		}
 		if value != initial {
 			s.settings.values[name] = initial
-			s.report(name, initial)
+			s.reportSetting(name, initial)
 		}
 	}
 }
--- a/standin/slots_test.go
+++ b/standin/slots_test.go
@@ -27,7 +27,7 @@
 
 // Guards against places that are granted out of order or lost.
 func TestQueueIsFirstComeFirstServed(t *testing.T) {
-	f := &fifo{capacity: 1}
+	f := &fifoSemaphore{capacity: 1}
 	assert.NilError(t, f.acquire(t.Context()))
 	var order []int
 	var tasks sync.WaitGroup
@@ -61,7 +61,7 @@
 		run(t, waiter, "INSERT INTO v VALUES (2)")
 		done.Store(true)
 	})
-	eventually(t, "waiting for the lock", func() bool { return server.writer.queued() == 1 })
+	eventually(t, "waiting for the lock", func() bool { return server.writeLock.queued() == 1 })
 	run(t, holder, "INSERT INTO v VALUES (3)")
 	assert.Assert(t, !done.Load())
 	run(t, holder, "COMMIT")
--- a/standin/sqlrewrite.go
+++ b/standin/sqlrewrite.go
@@ -35,15 +35,15 @@
 		keyword: tokens[0].text,
 		casts:   map[int]uint32{},
 	}
-	s.noteCastFunctions()
+	s.recordCastFunctions()
 	r := rewriter{query: query, statement: s}
 	r.run()
 	s.sql = string(r.out)
 	return s
 }
 
-// noteCastFunctions records CAST($n AS type).
-func (s *statement) noteCastFunctions() {
+// recordCastFunctions records CAST($n AS type).
+func (s *statement) recordCastFunctions() {
 	for i := 0; i+4 < len(s.tokens); i++ {
 		t := s.tokens[i : i+5]
 		if t[0].is("CAST") && t[1].is("(") && t[2].kind == tokenParameter && t[3].is("AS") {
@@ -60,12 +60,12 @@
 // rewriter writes a statement's tokens in SQLite's dialect. It remembers where
 // the operand before the current token starts, so that a cast can enclose it.
 type rewriter struct {
-	query     string
-	statement *statement
-	out       []byte
-	operand   int
-	isParam   int
-	open      []int
+	query             string
+	statement         *statement
+	out               []byte
+	operandStart      int
+	operandParameter  int
+	parenthesisStarts []int
 }
 
 func (r *rewriter) run() {
@@ -78,7 +78,7 @@
 			i = r.cast(tokens, i+1)
 			continue
 		}
-		r.copy(tokens, i)
+		r.copyToken(tokens, i)
 	}
 }
 
@@ -92,25 +92,25 @@
 	return tokens
 }
 
-func (r *rewriter) copy(tokens []token, i int) {
+func (r *rewriter) copyToken(tokens []token, i int) {
 	t := tokens[i]
 	afterName := i > 0 && tokens[i-1].end == t.start && tokens[i-1].kind == tokenWord
 	switch {
 	case t.is("("):
 		start := len(r.out)
 		if afterName {
-			start = r.operand
+			start = r.operandStart
 		}
-		r.open = append(r.open, start)
-	case t.is(")") && len(r.open) > 0:
-		r.operand = r.open[len(r.open)-1]
-		r.open = r.open[:len(r.open)-1]
+		r.parenthesisStarts = append(r.parenthesisStarts, start)
+	case t.is(")") && len(r.parenthesisStarts) > 0:
+		r.operandStart = r.parenthesisStarts[len(r.parenthesisStarts)-1]
+		r.parenthesisStarts = r.parenthesisStarts[:len(r.parenthesisStarts)-1]
 	case i > 0 && tokens[i-1].is(".") || t.is("."):
 		// A qualified name is one operand that starts at its first part.
 	default:
-		r.operand = len(r.out)
+		r.operandStart = len(r.out)
 	}
-	r.isParam = 0
+	r.operandParameter = 0
 	if t.kind == tokenParameter {
 		r.parameter(t)
 		return
@@ -120,7 +120,7 @@
 
 func (r *rewriter) parameter(t token) {
 	n := parameterNumber(t)
-	r.isParam = n
+	r.operandParameter = n
 	r.statement.parameters = max(r.statement.parameters, n)
 	r.out = append(r.out, '?')
 	r.out = append(r.out, t.text[1:]...)
@@ -130,24 +130,24 @@
 // the last token that belongs to the type.
 func (r *rewriter) cast(tokens []token, i int) int {
 	oid := oidOfTypeName(tokens[i].text)
-	if r.isParam > 0 {
-		r.statement.casts[r.isParam] = oid
+	if r.operandParameter > 0 {
+		r.statement.casts[r.operandParameter] = oid
 	} else {
-		operand := string(r.out[r.operand:])
-		r.out = append(r.out[:r.operand], "CAST("+operand+" AS "+sqliteType(oid)+")"...)
+		operand := string(r.out[r.operandStart:])
+		r.out = append(r.out[:r.operandStart], "CAST("+operand+" AS "+sqliteType(oid)+")"...)
 	}
 	last := i
 	if i+1 < len(tokens) && tokens[i].is("DOUBLE") && tokens[i+1].is("PRECISION") {
 		last = i + 1
 	}
 	for last+1 < len(tokens) && tokens[last+1].is("(") {
-		last = closing(tokens, last+1)
+		last = closingParenthesis(tokens, last+1)
 	}
 	return last
 }
 
-// closing returns the index of the parenthesis that closes the one at i.
-func closing(tokens []token, i int) int {
+// closingParenthesis returns the index of the parenthesis that closes the one at i.
+func closingParenthesis(tokens []token, i int) int {
 	depth := 0
 	for ; i < len(tokens); i++ {
 		if tokens[i].is("(") {
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -76,24 +76,24 @@
 
 // Server is a running stand-in. Its methods are safe for concurrent use.
 type Server struct {
-	options Options
-	log     *slog.Logger
-	metrics tally.Scope
-	address string
-	tempDir string
-	logins  *pgscram.Verifier // nil trusts every user
-
-	state  *state
-	store  *store
-	slots  fifo
-	writer fifo
-
-	lag         atomic.Int64
-	delay       atomic.Int64
-	serviceTime atomic.Int64
-	maxSessions atomic.Int64
-	linkBroken  atomic.Bool
-	statements  atomic.Int64
+	options          Options
+	log              *slog.Logger
+	metrics          tally.Scope
+	address          string
+	tempDir          string
+	passwordVerifier *pgscram.Verifier // nil trusts every user
+
+	state     *state
+	store     *store
+	slots     fifoSemaphore
+	writeLock fifoSemaphore
+
+	lag               atomic.Int64
+	connectDelay      atomic.Int64
+	serviceTime       atomic.Int64
+	maxSessions       atomic.Int64
+	replicationBroken atomic.Bool
+	statements        atomic.Int64
 
 	// mu guards the fields below.
 	mu       sync.Mutex
@@ -102,9 +102,9 @@
 	sessions map[uint32]*session
 	conns    map[net.Conn]struct{}
 	nextPID  uint32
-	// run ends when the server is killed or closed.
-	run       context.Context
-	stop      context.CancelFunc
+	// runCtx ends when the server is killed or closed.
+	runCtx    context.Context
+	cancelRun context.CancelFunc
 	tasks     *conc.WaitGroup
 	announcer *announcer
 }
@@ -125,7 +125,7 @@
 	if s.options.Primary != "" {
 		s.state.startAsReplica(s.options.Primary)
 	}
-	s.begin()
+	s.startGoroutines()
 	return s, nil
 }
 
@@ -145,10 +145,10 @@
 		metrics: metrics.OrNoop(options.Metrics).SubScope("standin"),
 		state:   newState(options.Term),
 	}
-	s.writer.capacity = 1
+	s.writeLock.capacity = 1
 	s.slots.capacity = options.Slots
 	s.lag.Store(int64(options.Lag))
-	s.delay.Store(int64(options.ConnectDelay))
+	s.connectDelay.Store(int64(options.ConnectDelay))
 	s.serviceTime.Store(int64(options.ServiceTime))
 	s.maxSessions.Store(int64(options.MaxConnections))
 	return s
@@ -159,7 +159,7 @@
 		return nil
 	}
 	var err error
-	s.logins, err = pgscram.NewVerifier(s.options.Passwords)
+	s.passwordVerifier, err = pgscram.NewVerifier(s.options.Passwords)
 	return err
 }
 
@@ -187,21 +187,21 @@
 	return nil
 }
 
-// begin starts the server's goroutines on a listener that is open.
-func (s *Server) begin() {
+// startGoroutines starts the server's goroutines on a listener that is open.
+func (s *Server) startGoroutines() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running = true
 	s.sessions = map[uint32]*session{}
 	s.conns = map[net.Conn]struct{}{}
-	s.run, s.stop = context.WithCancel(context.Background())
+	s.runCtx, s.cancelRun = context.WithCancel(context.Background())
 	s.tasks = conc.NewWaitGroup()
-	run, listener := s.run, s.listener
-	s.tasks.Go(func() { s.accept(run, listener) })
-	s.tasks.Go(func() { s.replicate(run) })
+	ctx, listener := s.runCtx, s.listener
+	s.tasks.Go(func() { s.accept(ctx, listener) })
+	s.tasks.Go(func() { s.replicate(ctx) })
 	if len(s.options.AnnounceTo) > 0 {
 		s.announcer = newAnnouncer(s, s.options.AnnounceTo)
-		s.tasks.Go(func() { s.announcer.run(run) })
+		s.tasks.Go(func() { s.announcer.run(ctx) })
 	}
 }
 
@@ -214,7 +214,7 @@
 		return
 	}
 	s.running = false
-	s.stop()
+	s.cancelRun()
 	s.listener.Close()
 	for conn := range s.conns {
 		conn.Close()
@@ -230,8 +230,8 @@
 	if err := s.listen(s.address); err != nil {
 		return err
 	}
-	s.state.restarted()
-	s.begin()
+	s.state.resetAfterRestart()
+	s.startGoroutines()
 	return nil
 }
 
@@ -256,7 +256,7 @@
 func (s *Server) SetLag(lag time.Duration) { s.lag.Store(int64(lag)) }
 
 // SetConnectDelay changes the time that a new connection takes.
-func (s *Server) SetConnectDelay(delay time.Duration) { s.delay.Store(int64(delay)) }
+func (s *Server) SetConnectDelay(delay time.Duration) { s.connectDelay.Store(int64(delay)) }
 
 // SetServiceTime changes the time added to each statement.
 func (s *Server) SetServiceTime(time time.Duration) { s.serviceTime.Store(int64(time)) }
@@ -270,7 +270,7 @@
 
 // SetReplicationBroken cuts the link to this replica's primary, or heals it.
 func (s *Server) SetReplicationBroken(broken bool) {
-	s.linkBroken.Store(broken)
+	s.replicationBroken.Store(broken)
 	s.state.dropLink()
 }
 
@@ -284,8 +284,8 @@
 func (s *Server) setFrozen(frozen bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, open := range s.sessions {
-		open.frozen.Store(frozen)
+	for _, sess := range s.sessions {
+		sess.frozen.Store(frozen)
 	}
 }
 
--- a/standin/standin_test.go
+++ b/standin/standin_test.go
@@ -38,7 +38,7 @@
 	return tag
 }
 
-func code(err error) string {
+func sqlState(err error) string {
 	var failure *pgconn.PgError
 	if errors.As(err, &failure) {
 		return failure.Code
@@ -46,10 +46,10 @@
 	return ""
 }
 
-func expectCode(t *testing.T, conn *pgx.Conn, want, sql string, args ...any) {
+func expectSQLState(t *testing.T, conn *pgx.Conn, want, sql string, args ...any) {
 	t.Helper()
 	_, err := conn.Exec(context.Background(), sql, args...)
-	assert.Equal(t, code(err), want, "%s: %v", sql, err)
+	assert.Equal(t, sqlState(err), want, "%s: %v", sql, err)
 }
 
 func value[T any](t *testing.T, conn *pgx.Conn, sql string, args ...any) T {
--- a/standin/state.go
+++ b/standin/state.go
@@ -43,24 +43,24 @@
 	// primary is the address that a replica follows; empty if it must not
 	// follow anyone.
 	primary string
-	// link changes whenever replication must start anew.
-	link uint64
-	// fresh is the send time of the last pull whose answer is fully applied.
-	fresh time.Time
-	// contact is the time of the last answer of the primary.
-	contact time.Time
+	// linkNumber changes whenever replication must start anew.
+	linkNumber uint64
+	// upToDateAt is the send time of the last pull whose answer is fully applied.
+	upToDateAt time.Time
+	// lastContact is the time of the last answer of the primary.
+	lastContact time.Time
 	// changed is closed and replaced at each change.
 	changed chan struct{}
 }
 
 func newState(term upstream.Term) *state {
 	return &state{
-		role:    upstream.RolePrimary,
-		term:    term,
-		fenced:  term,
-		history: upstream.History{{Term: term}},
-		changed: make(chan struct{}),
-		contact: time.Now(),
+		role:        upstream.RolePrimary,
+		term:        term,
+		fenced:      term,
+		history:     upstream.History{{Term: term}},
+		changed:     make(chan struct{}),
+		lastContact: time.Now(),
 	}
 }
 
@@ -72,14 +72,14 @@
 	s.notify()
 }
 
-// restarted forgets what a new process can't know: when it last heard from
+// resetAfterRestart forgets what a new process can't know: when it last heard from
 // its primary.
-func (s *state) restarted() {
+func (s *state) resetAfterRestart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fresh = time.Time{}
-	s.contact = time.Now()
-	s.link++
+	s.upToDateAt = time.Time{}
+	s.lastContact = time.Now()
+	s.linkNumber++
 	s.notify()
 }
 
@@ -106,10 +106,10 @@
 	if s.role == upstream.RolePrimary {
 		return status
 	}
-	status.PrimaryContactAge = now.Sub(s.contact)
+	status.PrimaryContactAge = now.Sub(s.lastContact)
 	status.DataAge = unknownAge
-	if !s.fresh.IsZero() {
-		status.DataAge = now.Sub(s.fresh)
+	if !s.upToDateAt.IsZero() {
+		status.DataAge = now.Sub(s.upToDateAt)
 	}
 	return status
 }
@@ -138,8 +138,8 @@
 func (s *state) commitEntry(term upstream.Term, statements []loggedStatement, commit func() error) error {
 	s.commit.Lock()
 	defer s.commit.Unlock()
-	current, ok := s.mayWrite()
-	if !ok || current != term {
+	currentTerm, ok := s.mayWrite()
+	if !ok || currentTerm != term {
 		return readOnlyError("COMMIT")
 	}
 	if err := commit(); err != nil {
@@ -179,7 +179,7 @@
 
 func (s *state) stopFollowingLocked() {
 	s.primary = ""
-	s.link++
+	s.linkNumber++
 }
 
 // promote makes the server the primary of term.
@@ -217,14 +217,14 @@
 		return nil
 	}
 	if s.role == upstream.RolePrimary {
-		s.fresh = time.Time{}
+		s.upToDateAt = time.Time{}
 	}
 	s.stopFollowingLocked()
 	s.role = upstream.RoleReplica
 	s.term = term
 	s.fenced = term
 	s.primary = address
-	s.contact = time.Now()
+	s.lastContact = time.Now()
 	s.notify()
 	return nil
 }
@@ -233,6 +233,6 @@
 func (s *state) dropLink() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.link++
+	s.linkNumber++
 	s.notify()
 }
--- a/standin/store.go
+++ b/standin/store.go
@@ -17,9 +17,9 @@
 	dir string
 
 	// mu guards the fields below.
-	mu         sync.RWMutex
-	generation int
-	schema     uint64
+	mu            sync.RWMutex
+	generation    int
+	schemaVersion uint64
 }
 
 func (s *store) path(generation int) string {
@@ -35,29 +35,29 @@
 	return db.Close()
 }
 
-// current returns the generation and the version of the schema.
-func (s *store) current() (int, uint64) {
+// versions returns the generation and the version of the schema.
+func (s *store) versions() (int, uint64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.generation, s.schema
+	return s.generation, s.schemaVersion
 }
 
-func (s *store) schemaChanged() {
+func (s *store) incrementSchemaVersion() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.schema++
+	s.schemaVersion++
 }
 
-func (s *store) advance(generation int) {
+func (s *store) setGeneration(generation int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.generation = generation
-	s.schema++
+	s.schemaVersion++
 }
 
 // open opens a connection to the current generation, which it returns too.
 func (s *store) open() (*sqlite3.SQLiteConn, int, error) {
-	generation, _ := s.current()
+	generation, _ := s.versions()
 	db, err := s.openGeneration(generation)
 	return db, generation, err
 }
@@ -105,7 +105,7 @@
 // rebuild creates the next generation from a prefix of the log. The caller
 // holds the state's commit lock.
 func (s *store) rebuild(entries []entry) error {
-	generation, _ := s.current()
+	generation, _ := s.versions()
 	db, err := s.openGeneration(generation + 1)
 	if err != nil {
 		return err
@@ -114,7 +114,7 @@
 	if err := applyEntries(db, entries); err != nil {
 		return &fault.IO{Op: "rebuild database", Err: err}
 	}
-	s.advance(generation + 1)
+	s.setGeneration(generation + 1)
 	return nil
 }
 
@@ -137,7 +137,7 @@
 	Blob  []byte
 }
 
-func logValue(v any) loggedValue {
+func toLoggedValue(v any) loggedValue {
 	switch v := v.(type) {
 	case int64:
 		return loggedValue{Kind: kindInt, Int: v}
--- a/standin/transaction.go
+++ b/standin/transaction.go
@@ -13,18 +13,18 @@
 	explicit bool
 	failed   bool
 	readOnly bool
-	// began is true if SQLite has a transaction open.
-	began bool
-	// writer is true while the session holds the server's write lock.
-	writer     bool
-	term       upstream.Term
-	statements []loggedStatement
-	savepoints []savepoint
+	// openInSQLite is true if SQLite has a transaction open.
+	openInSQLite bool
+	// holdsWriteLock is true while the session holds the server's write lock.
+	holdsWriteLock bool
+	term           upstream.Term
+	statements     []loggedStatement
+	savepoints     []savepoint
 }
 
 type savepoint struct {
-	name       string
-	statements int
+	name           string
+	statementCount int
 }
 
 func (t *transaction) status() byte {
@@ -44,17 +44,17 @@
 	return s.settings.readOnly()
 }
 
-// beginInDatabase opens SQLite's transaction. It is called late, so that a
+// beginInSQLite opens SQLite's transaction. It is called late, so that a
 // transaction that does nothing costs nothing.
-func (s *session) beginInDatabase() *pgError {
-	if s.tx.began {
+func (s *session) beginInSQLite() *pgError {
+	if s.tx.openInSQLite {
 		return nil
 	}
 	if _, err := s.db.Exec("BEGIN", nil); err != nil {
 		return databaseError(err)
 	}
-	s.tx.began = true
-	s.inDatabase.Store(true)
+	s.tx.openInSQLite = true
+	s.hasSQLiteTransaction.Store(true)
 	return nil
 }
 
@@ -72,7 +72,7 @@
 // beginWrite opens SQLite's transaction for a write. The session holds the
 // server's write lock, so that SQLite never has to wait for its own.
 func (s *session) beginWrite(keyword string) *pgError {
-	if failure := s.beginInDatabase(); failure != nil {
+	if failure := s.beginInSQLite(); failure != nil {
 		return failure
 	}
 	// Checked again after the transaction is visible to closeTransactions,
@@ -87,7 +87,7 @@
 
 // commit ends SQLite's transaction and logs what it wrote.
 func (s *session) commit() *pgError {
-	if !s.tx.began {
+	if !s.tx.openInSQLite {
 		return nil
 	}
 	commit := func() error {
@@ -104,15 +104,15 @@
 		s.rollback()
 		return databaseError(err)
 	}
-	s.noteSchemaChange()
-	s.leaveDatabase()
+	s.recordSchemaChange()
+	s.clearSQLiteTransaction()
 	return nil
 }
 
-func (s *session) noteSchemaChange() {
+func (s *session) recordSchemaChange() {
 	for _, logged := range s.tx.statements {
 		if logged.Schema {
-			s.server.store.schemaChanged()
+			s.server.store.incrementSchemaVersion()
 			return
 		}
 	}
@@ -120,20 +120,20 @@
 
 // rollback undoes SQLite's transaction and releases the write lock.
 func (s *session) rollback() {
-	if s.tx.began {
+	if s.tx.openInSQLite {
 		if _, err := s.db.Exec("ROLLBACK", nil); err != nil {
 			s.server.log.Debug("rollback failed", "error", err)
 		}
 	}
-	s.leaveDatabase()
+	s.clearSQLiteTransaction()
 }
 
-func (s *session) leaveDatabase() {
-	s.tx.began = false
-	s.inDatabase.Store(false)
-	if s.tx.writer {
-		s.tx.writer = false
-		s.server.writer.release()
+func (s *session) clearSQLiteTransaction() {
+	s.tx.openInSQLite = false
+	s.hasSQLiteTransaction.Store(false)
+	if s.tx.holdsWriteLock {
+		s.tx.holdsWriteLock = false
+		s.server.writeLock.release()
 	}
 	s.tx.statements = nil
 	s.tx.savepoints = nil
@@ -151,9 +151,9 @@
 	s.rollback()
 }
 
-// endImplicit commits what a Query or the messages up to a Sync wrote outside
+// commitImplicit commits what a Query or the messages up to a Sync wrote outside
 // of an explicit transaction.
-func (s *session) endImplicit() *pgError {
+func (s *session) commitImplicit() *pgError {
 	if s.tx.explicit {
 		return nil
 	}
@@ -162,8 +162,8 @@
 	return failure
 }
 
-// control runs transaction statements. It returns false for other statements.
-func (s *session) control(st *statement) (string, *pgError, bool) {
+// executeTransactionStatement runs transaction statements. It returns false for other statements.
+func (s *session) executeTransactionStatement(st *statement) (string, *pgError, bool) {
 	switch st.keyword {
 	case "BEGIN", "START":
 		tag, failure := s.begin(st)
@@ -193,15 +193,15 @@
 	}
 	s.tx.explicit = true
 	s.tx.readOnly = s.settings.readOnly()
-	s.setAccess(st)
+	s.setAccessMode(st)
 	if st.keyword == "START" {
 		return "START TRANSACTION", nil
 	}
 	return "BEGIN", nil
 }
 
-// setAccess applies READ ONLY or READ WRITE, wherever a statement has it.
-func (s *session) setAccess(st *statement) {
+// setAccessMode applies READ ONLY or READ WRITE, wherever a statement has it.
+func (s *session) setAccessMode(st *statement) {
 	for i := range st.tokens {
 		if st.word(i) != "READ" {
 			continue
@@ -250,40 +250,40 @@
 	if failure := s.openDatabase(); failure != nil {
 		return "", failure
 	}
-	if failure := s.beginInDatabase(); failure != nil {
+	if failure := s.beginInSQLite(); failure != nil {
 		return "", failure
 	}
 	name := st.word(1)
 	if _, err := s.db.Exec("SAVEPOINT "+quoteName(name), nil); err != nil {
 		return "", databaseError(err)
 	}
-	s.tx.savepoints = append(s.tx.savepoints, savepoint{name: name, statements: len(s.tx.statements)})
+	s.tx.savepoints = append(s.tx.savepoints, savepoint{name: name, statementCount: len(s.tx.statements)})
 	return "SAVEPOINT", nil
 }
 
 func (s *session) releaseSavepoint(st *statement) (string, *pgError) {
 	name := st.word(len(st.tokens) - 1)
-	at := s.findSavepoint(name)
-	if at < 0 {
-		return "", noSavepoint(name)
+	index := s.findSavepoint(name)
+	if index < 0 {
+		return "", unknownSavepoint(name)
 	}
 	if _, err := s.db.Exec("RELEASE "+quoteName(name), nil); err != nil {
 		return "", databaseError(err)
 	}
-	s.tx.savepoints = s.tx.savepoints[:at]
+	s.tx.savepoints = s.tx.savepoints[:index]
 	return "RELEASE", nil
 }
 
 func (s *session) rollbackTo(name string) (string, *pgError) {
-	at := s.findSavepoint(name)
-	if at < 0 {
-		return "", noSavepoint(name)
+	index := s.findSavepoint(name)
+	if index < 0 {
+		return "", unknownSavepoint(name)
 	}
 	if _, err := s.db.Exec("ROLLBACK TO "+quoteName(name), nil); err != nil {
 		return "", databaseError(err)
 	}
-	s.tx.statements = s.tx.statements[:s.tx.savepoints[at].statements]
-	s.tx.savepoints = s.tx.savepoints[:at+1]
+	s.tx.statements = s.tx.statements[:s.tx.savepoints[index].statementCount]
+	s.tx.savepoints = s.tx.savepoints[:index+1]
 	s.tx.failed = false
 	return "ROLLBACK", nil
 }
@@ -297,7 +297,7 @@
 	return -1
 }
 
-func noSavepoint(name string) *pgError {
+func unknownSavepoint(name string) *pgError {
 	return &pgError{Code: "3B001", Message: "savepoint " + name + " does not exist"}
 }
 
--- a/standin/types.go
+++ b/standin/types.go
@@ -111,14 +111,14 @@
 	if v == nil {
 		return append(out, 0xff, 0xff, 0xff, 0xff)
 	}
-	at := len(out)
+	start := len(out)
 	out = append(out, 0, 0, 0, 0)
 	if format == formatBinary {
 		out = appendBinary(out, v, oid)
 	} else {
 		out = appendText(out, v, oid)
 	}
-	binary.BigEndian.PutUint32(out[at:], uint32(len(out)-at-4))
+	binary.BigEndian.PutUint32(out[start:], uint32(len(out)-start-4))
 	return out
 }
 
