--- a/standin/activity.go
+++ b/standin/activity.go
@@ -5,11 +5,12 @@
 	"strconv"
 )
 
-// activityFields are the columns of pg_stat_activity that the server knows.
+// activityFields are the columns of pg_stat_activity that the stand-in supports.
 var activityFields = []field{{"state", oidText}, {"wait_event", oidText}}
 
-// activityQuery returns the session that is asked about by
-// SELECT state, wait_event FROM pg_stat_activity WHERE pid = number.
+// activityQuery recognises the one query of pg_stat_activity that is supported,
+// SELECT state, wait_event FROM pg_stat_activity WHERE pid = number, and
+// returns its pid.
 func activityQuery(st *statement) (pid uint32, ok bool) {
 	words := []string{"SELECT", "STATE", ",", "WAIT_EVENT", "FROM", "PG_STAT_ACTIVITY", "WHERE", "PID", "="}
 	if len(st.tokens) != len(words)+1 {
@@ -24,8 +25,8 @@
 	return uint32(n), err == nil
 }
 
-// queryActivity answers a query of pg_stat_activity. There is no row for a session
-// that has ended.
+// queryActivity answers a query of pg_stat_activity for one session. The answer
+// has no row if the session has ended.
 func (s *session) queryActivity(pid uint32, sink *rowSink) (string, *pgError) {
 	sink.start(activityFields)
 	other := s.server.sessionByPID(pid)
--- a/standin/announce.go
+++ b/standin/announce.go
@@ -19,7 +19,8 @@
 	announceTimeout  = time.Second
 )
 
-// announcer tells the proxies or control hosts of the server.
+// announcer reports the server's role, term and capacity to the proxies or
+// control hosts given in Options.AnnounceTo.
 type announcer struct {
 	server  *Server
 	clients []lovageslipv1connect.ControlServiceClient
@@ -37,14 +38,16 @@
 	return a
 }
 
-// identity is the part of an announcement whose change is announced at once.
+// identity is the part of the server's status that is announced as soon as it
+// changes, without waiting for announceInterval.
 type identity struct {
 	role upstream.Role
 	term upstream.Term
 }
 
-// ctx announces at the start, on each change of role or term until answered,
-// and every announceInterval.
+// run announces the server when it starts, when its role or term changes, and
+// every announceInterval. An announcement that no address answered is repeated
+// after announceInterval.
 func (a *announcer) run(ctx context.Context) {
 	var announced identity
 	answered := false
@@ -64,7 +67,8 @@
 	}
 }
 
-// waitUntilDue waits until the next announcement is due.
+// waitUntilDue returns when announceInterval has passed, the role or term
+// differs from the announced one, or ctx ends.
 func (a *announcer) waitUntilDue(ctx context.Context, announced identity, changed <-chan struct{}) {
 	timer := time.NewTimer(announceInterval)
 	defer timer.Stop()
@@ -84,14 +88,15 @@
 	}
 }
 
-// announce sends one announcement to each address until one answers.
+// announce sends the announcement to one address after the other until one
+// answers. It returns the last error if none does.
 func (a *announcer) announce(ctx context.Context) error {
 	var err error
 	for _, client := range a.clients {
 		if err = a.announceTo(ctx, client); err == nil {
 			return nil
 		}
-		a.server.log.Debug("announcement failed", "error", err)
+		a.server.log.Debug("announcement to a proxy or control host failed", "error", err)
 	}
 	return err
 }
@@ -119,7 +124,8 @@
 	}
 }
 
-// leave announces that the server is leaving, until one address has answered.
+// leave announces that the server is leaving. It repeats this until an address
+// has answered or ctx ends.
 func (a *announcer) leave(ctx context.Context) error {
 	a.leaving.Store(true)
 	for {
--- a/standin/announce_test.go
+++ b/standin/announce_test.go
@@ -14,7 +14,7 @@
 	"lovageslip/gen/lovageslip/v1/lovageslipv1connect"
 )
 
-// announcementRecorder records announcements.
+// announcementRecorder is a control host that records the announcements sent to it.
 type announcementRecorder struct {
 	lovageslipv1connect.UnimplementedControlServiceHandler
 	mu            sync.Mutex
@@ -37,8 +37,8 @@
 	return r.announcements[len(r.announcements)-1]
 }
 
-// Guards against a server that isn't announced because one address is dead, or
-// whose change of role or leaving isn't announced.
+// Guards against a server that doesn't announce itself because the first address
+// doesn't answer, or that doesn't announce a new role or that it is leaving.
 func TestAnnouncements(t *testing.T) {
 	recorder := &announcementRecorder{}
 	mux := http.NewServeMux()
--- a/standin/auth.go
+++ b/standin/auth.go
@@ -4,8 +4,8 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// authenticate checks the transport and the password of a new session. It
-// returns nil if the session may go on.
+// authenticate checks that a new session uses TLS if the server requires it,
+// and verifies the user's password. It returns nil if the session is accepted.
 func (s *session) authenticate(user string) *pgError {
 	if s.server.options.TLS != nil && !isTLS(s.conn) {
 		return &pgError{Code: codeNotAuthorized, Message: "connections without TLS are not accepted"}
@@ -19,7 +19,8 @@
 	return nil
 }
 
-// passwordMessages carries the messages of a login.
+// passwordMessages exchanges the SCRAM messages of a login over the session's
+// connection.
 type passwordMessages struct{ session *session }
 
 // Send implements pgscram.Messages.
--- a/standin/describe.go
+++ b/standin/describe.go
@@ -7,7 +7,7 @@
 	"github.com/mattn/go-sqlite3"
 )
 
-// fieldsOf returns the columns of a statement's answer without running it.
+// fieldsOf returns the columns of a statement's result without running it.
 func (s *session) fieldsOf(named *namedStatement) ([]field, *pgError) {
 	if named.described || named.st == nil {
 		return named.fields, nil
@@ -44,17 +44,18 @@
 	return s.describeReturning(st, oids), nil
 }
 
-// describeRead lets SQLite name and type the columns. The text is wrapped so
-// that no row is computed.
+// describeRead asks SQLite for the names and types of a query's columns. The
+// query is wrapped in a SELECT with LIMIT 0, so that it computes no rows.
 func (s *session) describeRead(st *statement, p *prepared, oids []uint32) ([]field, *pgError) {
 	probe, err := s.db.Prepare("SELECT * FROM (" + st.sql + "\n) LIMIT 0")
 	if err != nil {
-		// Not a query, such as PRAGMA or EXPLAIN.
+		// PRAGMA and EXPLAIN can't stand in a subquery; they are run as they are.
 		probe = p.stmt
 	} else {
 		defer probe.Close()
 	}
-	// SQLite may call pg_sleep for a row that the limit then cuts off.
+	// SQLite may evaluate pg_sleep for a row that LIMIT 0 then removes, so
+	// pg_sleep returns at once while a query is described.
 	s.describing = true
 	defer func() { s.describing = false }()
 	stmt := probe.(*sqlite3.SQLiteStmt)
@@ -92,7 +93,8 @@
 	return unquote(st.source[last.start-base : last.end-base])
 }
 
-// inferFieldTypes types the columns that are expressions by their text.
+// inferFieldTypes sets the types of columns without a declared type, which are
+// expressions, by the text of the select list.
 func (s *session) inferFieldTypes(st *statement, p *prepared, oids []uint32, fields []field) {
 	var inference *typeInference
 	list := splitList(selectList(st.tokens))
@@ -107,8 +109,8 @@
 	}
 }
 
-// selectList returns the tokens between the first SELECT outside parentheses
-// and its FROM.
+// selectList returns the select list of the first SELECT outside parentheses:
+// the tokens up to its FROM or another clause that ends the list.
 func selectList(tokens []token) []token {
 	list := afterWord(tokens, "SELECT")
 	depth := 0
@@ -167,8 +169,8 @@
 	return expression
 }
 
-// tableColumns holds the declared types of the columns that a statement may
-// refer to.
+// tableColumns holds the columns of the tables that a statement names, in the
+// order of their declaration and by upper-case name.
 type tableColumns struct {
 	ordered    []field
 	typeByName map[string]uint32
@@ -176,7 +178,7 @@
 
 func (t *tableColumns) all() []field { return t.ordered }
 
-// readTables reads the columns of every name in the statement that is a table.
+// readTables reads the columns of every table that the statement names.
 func (s *session) readTables(st *statement) *tableColumns {
 	tables := &tableColumns{typeByName: map[string]uint32{}}
 	seen := map[string]bool{}
--- a/standin/errors.go
+++ b/standin/errors.go
@@ -9,7 +9,7 @@
 	"github.com/mattn/go-sqlite3"
 )
 
-// SQLSTATE codes that the stand-in answers with.
+// SQLSTATE codes that the stand-in sends in error responses.
 const (
 	codeReadOnly           = "25006"
 	codeFailedTransaction  = "25P02"
@@ -29,7 +29,8 @@
 	codeInternal           = "XX000"
 )
 
-// pgError is an error that is answered to the client.
+// pgError is an error that is sent to the client in an ErrorResponse. Severity
+// is ERROR if empty.
 type pgError struct {
 	Code     string
 	Message  string
@@ -59,7 +60,7 @@
 	return &pgError{Code: codeCancelled, Message: "canceling statement due to user request"}
 }
 
-// databaseError maps an error of SQLite to a SQLSTATE.
+// databaseError maps an error of SQLite to a pgError with a matching SQLSTATE.
 func databaseError(err error) *pgError {
 	if errors.Is(err, context.Canceled) {
 		return cancelledError()
@@ -107,7 +108,8 @@
 	return "23000"
 }
 
-// codeOfMessage tells apart the errors that SQLite only describes in words.
+// codeOfMessage maps an error of SQLite by its message, because SQLite reports
+// these errors under one generic code.
 func codeOfMessage(message string) string {
 	codes := []struct{ part, code string }{
 		{"no such table", "42P01"},
--- a/standin/execute.go
+++ b/standin/execute.go
@@ -11,21 +11,22 @@
 	"github.com/mattn/go-sqlite3"
 )
 
-// field describes one column of an answer.
+// field describes one column of a result.
 type field struct {
 	name string
 	oid  uint32
 }
 
-// rowSink sends the rows of one statement.
+// rowSink encodes the rows of one statement and sends them to the client.
 type rowSink struct {
 	session *session
-	// sendDescription asks for a RowDescription before the first row.
+	// sendDescription makes start send a RowDescription before the first row.
 	sendDescription bool
 	formats         []int16
 	fields          []field
 	rowCount        int
-	// buffering collects encoded rows instead of sending them.
+	// buffering collects the encoded rows in bufferedRows instead of sending
+	// them.
 	buffering    bool
 	bufferedRows [][]byte
 }
@@ -52,8 +53,9 @@
 	}
 }
 
-// startStatus is start for the platform's functions, which are called before
-// every read.
+// startStatus is start for the platform's functions. It uses a RowDescription
+// that is encoded in advance, because proxies query the status before every
+// read.
 func (r *rowSink) startStatus() {
 	r.fields = statusFields
 	if r.sendDescription {
@@ -102,7 +104,7 @@
 }
 
 // prepared is a statement that SQLite has compiled on the session's
-// connection. Its metadata is read once.
+// connection. Its column metadata is read once, at the first run.
 type prepared struct {
 	stmt            *sqlite3.SQLiteStmt
 	readOnly        bool
@@ -133,7 +135,8 @@
 	return p, nil
 }
 
-// execute runs one statement of any kind and returns its command tag.
+// execute runs one statement of any kind and returns its command tag. It sends
+// the result's rows to sink.
 func (s *session) execute(st *statement, args []any, sink *rowSink) (string, *pgError) {
 	if tag, failure, done := s.executeTransactionStatement(st); done {
 		return tag, failure
@@ -157,7 +160,8 @@
 	return s.executeInSQLite(st, args, sink)
 }
 
-// executeSessionStatement runs statements about the session. It returns false for others.
+// executeSessionStatement runs statements about the session, such as SET and SHOW,
+// and SAVEPOINT and RELEASE. It returns false for other statements.
 func (s *session) executeSessionStatement(st *statement, sink *rowSink) (string, *pgError, bool) {
 	var tag string
 	var failure *pgError
@@ -289,8 +293,9 @@
 	return s.sendRows(st, p, rows, sink)
 }
 
-// statementError maps an error of a running statement. A cancelled statement may fail
-// in several ways, depending on where the cancel hits it.
+// statementError maps an error of a running statement to a pgError. SQLite
+// reports a cancelled statement with different errors, depending on what it was
+// doing, so the session's context is checked first.
 func (s *session) statementError(err error) *pgError {
 	if s.ctx.Err() != nil {
 		return cancelledError()
@@ -327,7 +332,8 @@
 	return nil
 }
 
-// readColumns reads the column names and declared types once.
+// readColumns reads the names and declared types of the columns, once for each
+// prepared statement.
 func (p *prepared) readColumns(rows *sqlite3.SQLiteRows) {
 	if p.described {
 		return
@@ -343,8 +349,9 @@
 	}
 }
 
-// fieldsFromFirstRow types the columns of expressions by the first row's values,
-// or by their text if there is no row.
+// fieldsFromFirstRow returns the result's columns. Columns without a declared
+// type, which are expressions, get the type of their value in the first row, or
+// one inferred from the statement's text if there is no row.
 func (s *session) fieldsFromFirstRow(st *statement, p *prepared, hasRow bool) []field {
 	fields := append([]field{}, p.fields...)
 	for i := range fields {
--- a/standin/extended.go
+++ b/standin/extended.go
@@ -4,8 +4,8 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// namedStatement is a statement of the extended protocol. st is nil for an
-// empty one.
+// namedStatement is a prepared statement of the extended protocol, created by a
+// Parse message. st is nil if its text is empty.
 type namedStatement struct {
 	st        *statement
 	oids      []uint32
@@ -13,8 +13,8 @@
 	described bool
 }
 
-// portal is a bound statement. After an Execute with a row limit, kept holds
-// the rows that are still to be sent.
+// portal is a statement with its arguments, created by a Bind message. After an
+// Execute with a row limit, pendingRows holds the rows that are not sent yet.
 type portal struct {
 	statement   *namedStatement
 	args        []any
@@ -44,8 +44,8 @@
 	return s.flushIfLarge()
 }
 
-// endQuery ends the implicit transaction; its commit has already happened if
-// there was no error.
+// endQuery ends a Query message. It rolls back an implicit transaction that a
+// failed statement left open; runSimple has committed it if there was no error.
 func (s *session) endQuery() {
 	if !s.tx.explicit {
 		s.rollback()
@@ -67,8 +67,8 @@
 	return statements
 }
 
-// runSimple runs one statement of a Query. The last one is acknowledged only
-// after the implicit transaction has committed.
+// runSimple runs one statement of a Query message. The CommandComplete of the
+// last one is sent only after the implicit transaction has committed.
 func (s *session) runSimple(st *statement, last bool) *pgError {
 	if st.parameters > 0 {
 		return &pgError{Code: "42P02", Message: "there is no parameter $1"}
@@ -87,7 +87,8 @@
 	return nil
 }
 
-// sync ends a sequence of extended messages.
+// sync handles a Sync message, which ends a sequence of extended-protocol
+// messages and commits the implicit transaction.
 func (s *session) sync() error {
 	s.skippingToSync = false
 	if failure := s.commitImplicit(); failure != nil {
@@ -137,7 +138,8 @@
 	return nil
 }
 
-// checkParse reports errors in the text early, as PostgreSQL does.
+// checkParse compiles the statement, so that errors in its text are reported at
+// Parse, as PostgreSQL does.
 func (s *session) checkParse(st *statement) *pgError {
 	if !runsInSQLite(st) {
 		return nil
@@ -149,7 +151,8 @@
 	return failure
 }
 
-// hasSQLiteTransaction reports whether SQLite runs the statement.
+// runsInSQLite reports whether SQLite runs the statement. The stand-in runs the
+// others itself.
 func runsInSQLite(st *statement) bool {
 	switch st.keyword {
 	case "BEGIN", "START", "COMMIT", "END", "ROLLBACK", "ABORT", "SAVEPOINT", "RELEASE",
@@ -244,7 +247,8 @@
 	return failure
 }
 
-// sendPendingRows sends rows that were held back by a row limit, up to the limit.
+// sendPendingRows sends at most limit rows of the portal, or all if limit is 0,
+// and then PortalSuspended if there are more, or CommandComplete.
 func (s *session) sendPendingRows(p *portal, limit int) {
 	n := len(p.pendingRows)
 	if limit > 0 {
--- a/standin/failover_test.go
+++ b/standin/failover_test.go
@@ -13,20 +13,20 @@
 	"lovageslip/upstream"
 )
 
-// failoverGroup is a group whose primary is replaced while writers run.
+// failoverGroup is a group of servers whose primary is replaced while writers run.
 type failoverGroup struct {
 	servers []*Server
 	primary atomic.Pointer[Server]
 	lastID  atomic.Int64
 	stopped atomic.Bool
 	mu      sync.Mutex
-	// confirmed lists the rows that a majority held under one term. mu
-	// guards it.
+	// confirmed lists the ids of rows that a majority of the servers held
+	// under one term. mu guards it.
 	confirmed []int64
 }
 
-// write inserts rows into whichever server is the primary and notes those that
-// a second server holds, as the owner of a primary does.
+// write inserts rows into the current primary and records those that a second
+// server has replicated as confirmed, as the owner of a primary does.
 func (g *failoverGroup) write(ctx context.Context) {
 	for !g.stopped.Load() {
 		server := g.primary.Load()
@@ -49,7 +49,7 @@
 	}
 	after := server.Status()
 	if before.Role != upstream.RolePrimary || after.Role != upstream.RolePrimary || before.Term != after.Term {
-		// The position may be one of another primary's log.
+		// The position may belong to another primary's log.
 		return false
 	}
 	position := after.Position()
@@ -75,7 +75,9 @@
 	return false
 }
 
-// failOver replaces the primary at a term, while the old one may be cut off.
+// failOver makes another server the primary of term: it fences all servers but the
+// old primary, promotes the one with the most recent log and makes the others
+// follow it.
 func (g *failoverGroup) failOver(t *testing.T, term int) {
 	t.Helper()
 	oldPrimary := g.primary.Load()
@@ -98,7 +100,8 @@
 	}
 }
 
-// logIsAhead compares the ends of two logs by the last term in their history.
+// logIsAhead reports whether a's log ends after b's, by the last term in its
+// history, then by offset.
 func logIsAhead(a, b upstream.Status) bool {
 	last := func(s upstream.Status) upstream.Position {
 		return upstream.Position{Term: s.History[len(s.History)-1].Term, Offset: s.Offset}
@@ -106,8 +109,8 @@
 	return last(b).Before(last(a))
 }
 
-// Guards against a confirmed row that a change of primary loses, and against
-// servers that differ afterwards.
+// Guards against a failover that loses confirmed rows, and against servers whose
+// logs differ after it.
 func TestConfirmedRowsSurviveFailover(t *testing.T) {
 	g := &failoverGroup{servers: startGroup(t, 2, Options{})}
 	g.primary.Store(g.servers[0])
@@ -127,7 +130,7 @@
 	writers.Wait()
 	end := g.primary.Load().Status()
 	for _, s := range g.servers {
-		eventually(t, "in step", func() bool {
+		eventually(t, "server has the new primary's log", func() bool {
 			status := s.Status()
 			return status.Includes(end.Position()) && status.Offset == end.Offset
 		})
--- a/standin/fifo.go
+++ b/standin/fifo.go
@@ -6,18 +6,18 @@
 	"sync"
 )
 
-// fifoSemaphore admits a number of holders at a time and queues the others in order of
-// arrival. It is safe for concurrent use.
+// fifoSemaphore is a semaphore whose waiters are served in order of arrival. It
+// is safe for concurrent use.
 type fifoSemaphore struct {
 	// mu guards the fields below.
 	mu sync.Mutex
-	// capacity of 0 means no limit.
+	// capacity is how many units can be acquired at a time; 0 for no limit.
 	capacity int
 	inUse    int
 	waiting  list.List
 }
 
-// tryAcquire takes a place if there is one without waiting.
+// tryAcquire acquires a unit if it can do so without waiting.
 func (f *fifoSemaphore) tryAcquire() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -32,12 +32,12 @@
 	return free
 }
 
-// acquire waits for a place. It fails only when ctx ends.
+// acquire acquires a unit, behind all waiters. It fails only when ctx ends.
 func (f *fifoSemaphore) acquire(ctx context.Context) error {
 	return f.enqueue(ctx, f.waiting.PushBack)
 }
 
-// acquireNext is acquire ahead of all that wait.
+// acquireNext is acquire ahead of all waiters.
 func (f *fifoSemaphore) acquireNext(ctx context.Context) error {
 	return f.enqueue(ctx, f.waiting.PushFront)
 }
@@ -64,7 +64,7 @@
 	defer f.mu.Unlock()
 	select {
 	case <-granted:
-		// The place was granted at the same moment; it goes to the next.
+		// The unit was granted just before ctx ended; the next waiter gets it.
 		f.inUse--
 		f.grant()
 	default:
@@ -87,7 +87,7 @@
 	f.grant()
 }
 
-// grant hands free places to waiters. The caller holds mu.
+// grant gives free units to the first waiters. The caller holds mu.
 func (f *fifoSemaphore) grant() {
 	for f.waiting.Len() > 0 && (f.capacity == 0 || f.inUse < f.capacity) {
 		first := f.waiting.Front()
--- a/standin/functions.go
+++ b/standin/functions.go
@@ -29,7 +29,8 @@
 	return out
 }
 
-// call is SELECT * FROM lovageslip_name(arguments).
+// call is a parsed call of a platform function, which has the form
+// SELECT * FROM lovageslip_name(arguments).
 type call struct {
 	name string
 	args []string
@@ -57,7 +58,7 @@
 	return c, true, nil
 }
 
-// number returns an argument that is a whole number.
+// number returns argument i as a non-negative integer.
 func (c call) number(i int) (uint64, *pgError) {
 	if i >= len(c.args) {
 		return 0, &pgError{Code: "42883", Message: "function " + strings.ToLower(c.name) + " needs more arguments"}
@@ -173,7 +174,8 @@
 	return string(out)
 }
 
-// formatAge rounds up to microseconds, because an age is an upper bound.
+// formatAge formats an age in milliseconds. It rounds up to microseconds, because
+// an age is an upper bound.
 func formatAge(age time.Duration) string {
 	if age == 0 {
 		return "0"
--- a/standin/guess.go
+++ b/standin/guess.go
@@ -2,8 +2,9 @@
 
 import "strings"
 
-// typeInference types expressions and parameters by their text, where neither a
-// declared type nor a cast does.
+// typeInference infers the types of a statement's parameters, and of expressions
+// without a declared type, from the statement's text and the columns of its
+// tables. SQLite doesn't report these types, but PostgreSQL clients need them.
 type typeInference struct {
 	st     *statement
 	oids   []uint32
@@ -14,8 +15,9 @@
 	return &typeInference{st: st, oids: oids, tables: s.readTables(st)}
 }
 
-// parameterTypes decides the type of each parameter: what Parse says, a cast,
-// what the parameter is compared with or stored in, or else text.
+// parameterTypes returns the type of each parameter: the one given in the Parse
+// message, or else that of a cast, or else that of the column or value that the
+// parameter is compared with or stored in, or else text.
 func (s *session) parameterTypes(st *statement, fromParse []uint32) []uint32 {
 	oids := make([]uint32, max(st.parameters, len(fromParse)))
 	copy(oids, fromParse)
@@ -36,23 +38,23 @@
 	return oids
 }
 
-func (g *typeInference) parameterType(number int) uint32 {
-	if isCall(g.st) {
-		return callParameterType(g.st, number)
+func (ti *typeInference) parameterType(number int) uint32 {
+	if isCall(ti.st) {
+		return callParameterType(ti.st, number)
 	}
-	for i, t := range g.st.tokens {
+	for i, t := range ti.st.tokens {
 		if t.kind != tokenParameter || parameterNumber(t) != number {
 			continue
 		}
-		if oid := g.typeFromNeighbours(i); oid != 0 {
+		if oid := ti.typeFromNeighbours(i); oid != 0 {
 			return oid
 		}
 	}
 	return oidText
 }
 
-// callParameterType types an argument of the platform's functions: all are numbers
-// but the address to follow.
+// callParameterType returns the type of an argument of a platform function. All
+// arguments are numbers, except for the address given to lovageslip_follow.
 func callParameterType(st *statement, number int) uint32 {
 	if st.word(3) == "LOVAGESLIP_FOLLOW" && number > 1 {
 		return oidText
@@ -60,9 +62,10 @@
 	return oidInt8
 }
 
-// typeFromNeighbours types the parameter at token i by its neighbours.
-func (g *typeInference) typeFromNeighbours(i int) uint32 {
-	tokens := g.st.tokens
+// typeFromNeighbours infers the type of the parameter at token i from the tokens
+// around it. It returns 0 if they don't tell.
+func (ti *typeInference) typeFromNeighbours(i int) uint32 {
+	tokens := ti.st.tokens
 	previous, next := tokenAt(tokens, i-1), tokenAt(tokens, i+1)
 	switch {
 	case previous.is("LIMIT") || previous.is("OFFSET"):
@@ -70,18 +73,18 @@
 	case previous.is("PG_SLEEP") || previous.is("(") && tokenAt(tokens, i-2).is("PG_SLEEP"):
 		return oidFloat8
 	case isOperator(previous) && i >= 2:
-		return g.operandType(tokens[i-2])
+		return ti.operandType(tokens[i-2])
 	case isOperator(next):
-		return g.operandType(tokenAt(tokens, i+2))
+		return ti.operandType(tokenAt(tokens, i+2))
 	case previous.is("BETWEEN"):
-		return g.operandType(tokenAt(tokens, i-2))
+		return ti.operandType(tokenAt(tokens, i-2))
 	case previous.is("AND") && tokenAt(tokens, i-3).is("BETWEEN"):
-		return g.operandType(tokenAt(tokens, i-4))
+		return ti.operandType(tokenAt(tokens, i-4))
 	}
-	if oid := g.typeFromInList(i); oid != 0 {
+	if oid := ti.typeFromInList(i); oid != 0 {
 		return oid
 	}
-	return g.typeFromInsert(i)
+	return ti.typeFromInsert(i)
 }
 
 func tokenAt(tokens []token, i int) token {
@@ -98,26 +101,27 @@
 	return t.kind == tokenOperator && len(t.text) > 0 && strings.Contains("= < > <= >= <> != + - * / %", t.text)
 }
 
-// operandType types one token, or returns 0.
-func (g *typeInference) operandType(t token) uint32 {
+// operandType returns the type of a literal, parameter or column, or 0 if it is
+// not known.
+func (ti *typeInference) operandType(t token) uint32 {
 	switch t.kind {
 	case tokenNumber:
 		return numberType(t)
 	case tokenString:
 		return oidText
 	case tokenParameter:
-		return g.knownParameterType(t)
+		return ti.knownParameterType(t)
 	}
-	return g.tables.typeByName[strings.ToUpper(unquote(t.text))]
+	return ti.tables.typeByName[strings.ToUpper(unquote(t.text))]
 }
 
-func (g *typeInference) knownParameterType(t token) uint32 {
+func (ti *typeInference) knownParameterType(t token) uint32 {
 	n := parameterNumber(t)
-	if oid, ok := g.st.casts[n]; ok {
+	if oid, ok := ti.st.casts[n]; ok {
 		return oid
 	}
-	if n <= len(g.oids) {
-		return g.oids[n-1]
+	if n <= len(ti.oids) {
+		return ti.oids[n-1]
 	}
 	return 0
 }
@@ -129,13 +133,14 @@
 	return oidInt8
 }
 
-// typeFromInList types a parameter of column IN (...).
-func (g *typeInference) typeFromInList(i int) uint32 {
+// typeFromInList infers the type of a parameter in the list of column IN (...)
+// from the column. It returns 0 if the parameter is in no such list.
+func (ti *typeInference) typeFromInList(i int) uint32 {
 	for j := i - 1; j > 0; j-- {
-		t := g.st.tokens[j]
+		t := ti.st.tokens[j]
 		if t.is("(") {
-			if g.st.tokens[j-1].is("IN") {
-				return g.operandType(tokenAt(g.st.tokens, j-2))
+			if ti.st.tokens[j-1].is("IN") {
+				return ti.operandType(tokenAt(ti.st.tokens, j-2))
 			}
 			return 0
 		}
@@ -146,9 +151,10 @@
 	return 0
 }
 
-// typeFromInsert types a parameter of VALUES by the column that it goes into.
-func (g *typeInference) typeFromInsert(i int) uint32 {
-	tokens := g.st.tokens
+// typeFromInsert infers the type of a parameter of VALUES from the column that it
+// is stored in. It returns 0 if the parameter isn't itself a value there.
+func (ti *typeInference) typeFromInsert(i int) uint32 {
+	tokens := ti.st.tokens
 	values := indexOfWord(tokens, "VALUES")
 	if values < 0 || i < values {
 		return 0
@@ -166,12 +172,12 @@
 	if depth != 1 {
 		return 0
 	}
-	return g.insertColumnType(tokens[:values], column)
+	return ti.insertColumnType(tokens[:values], column)
 }
 
-// insertColumnType types the column at a place of INSERT INTO table (columns), or of
-// the whole table if there is no list.
-func (g *typeInference) insertColumnType(head []token, column int) uint32 {
+// insertColumnType returns the type of a column by its index in the column list
+// of INSERT INTO table (columns), or in the table if there is no list.
+func (ti *typeInference) insertColumnType(head []token, column int) uint32 {
 	open := -1
 	for i, t := range head {
 		if t.is("(") {
@@ -180,8 +186,8 @@
 		}
 	}
 	if open < 0 {
-		if column < len(g.tables.ordered) {
-			return g.tables.ordered[column].oid
+		if column < len(ti.tables.ordered) {
+			return ti.tables.ordered[column].oid
 		}
 		return 0
 	}
@@ -189,7 +195,7 @@
 	if column >= len(columns) || len(columns[column]) == 0 {
 		return 0
 	}
-	return g.operandType(columns[column][0])
+	return ti.operandType(columns[column][0])
 }
 
 func indexOfWord(tokens []token, word string) int {
@@ -201,15 +207,16 @@
 	return -1
 }
 
-// expressionType types an expression of a select list; text if it can't tell.
-func (g *typeInference) expressionType(tokens []token) uint32 {
-	if oid := g.inferType(tokens); oid != 0 {
+// expressionType returns the type of an expression in a select list, or text if
+// it can't be inferred.
+func (ti *typeInference) expressionType(tokens []token) uint32 {
+	if oid := ti.inferType(tokens); oid != 0 {
 		return oid
 	}
 	return oidText
 }
 
-func (g *typeInference) inferType(tokens []token) uint32 {
+func (ti *typeInference) inferType(tokens []token) uint32 {
 	if len(tokens) == 0 {
 		return 0
 	}
@@ -217,20 +224,20 @@
 		return oidOfTypeName(tokens[len(tokens)-1].text)
 	}
 	if left, operator, right, ok := splitOperator(tokens); ok {
-		return g.operationType(left, operator, right)
+		return ti.operationType(left, operator, right)
 	}
 	first, last := tokens[0], tokens[len(tokens)-1]
 	switch {
 	case len(tokens) == 1:
-		return g.singleTokenType(first)
+		return ti.singleTokenType(first)
 	case first.is("(") && last.is(")"):
-		return g.parenthesizedType(tokens[1 : len(tokens)-1])
+		return ti.parenthesizedType(tokens[1 : len(tokens)-1])
 	case first.is("CASE"):
-		return g.inferType(tokenAfter(tokens, "THEN"))
+		return ti.inferType(tokenAfter(tokens, "THEN"))
 	case tokens[1].is("("):
-		return g.functionType(first.text, tokens[2:closingParenthesis(tokens, 1)])
+		return ti.functionType(first.text, tokens[2:closingParenthesis(tokens, 1)])
 	case tokens[1].is("."):
-		return g.singleTokenType(last)
+		return ti.singleTokenType(last)
 	}
 	return 0
 }
@@ -243,18 +250,18 @@
 	return tokens[i+1 : i+2]
 }
 
-func (g *typeInference) singleTokenType(t token) uint32 {
+func (ti *typeInference) singleTokenType(t token) uint32 {
 	if t.is("TRUE") || t.is("FALSE") {
 		return oidBool
 	}
-	return g.operandType(t)
+	return ti.operandType(t)
 }
 
-func (g *typeInference) parenthesizedType(tokens []token) uint32 {
+func (ti *typeInference) parenthesizedType(tokens []token) uint32 {
 	if len(tokens) > 0 && tokens[0].is("SELECT") {
-		return g.inferType(withoutAlias(selectList(tokens)))
+		return ti.inferType(withoutAlias(selectList(tokens)))
 	}
-	return g.inferType(tokens)
+	return ti.inferType(tokens)
 }
 
 // splitOperator finds the first operator outside parentheses.
@@ -269,12 +276,12 @@
 	return nil, token{}, nil, false
 }
 
-func (g *typeInference) operationType(left []token, operator token, right []token) uint32 {
+func (ti *typeInference) operationType(left []token, operator token, right []token) uint32 {
 	switch operator.text {
 	case "||":
 		return oidText
 	case "+", "-", "*", "/", "%":
-		if g.inferType(left) == oidFloat8 || g.inferType(right) == oidFloat8 {
+		if ti.inferType(left) == oidFloat8 || ti.inferType(right) == oidFloat8 {
 			return oidFloat8
 		}
 		return oidInt8
@@ -282,13 +289,13 @@
 	return oidBool
 }
 
-func (g *typeInference) functionType(name string, args []token) uint32 {
+func (ti *typeInference) functionType(name string, args []token) uint32 {
 	first := func() uint32 {
 		list := splitList(args)
 		if len(list) == 0 {
 			return 0
 		}
-		return g.inferType(list[0])
+		return ti.inferType(list[0])
 	}
 	switch name {
 	case "COUNT", "LENGTH", "RANDOM", "ROW_NUMBER", "RANK", "CHANGES", "LAST_INSERT_ROWID", "INSTR", "UNICODE":
--- a/standin/link.go
+++ b/standin/link.go
@@ -13,14 +13,15 @@
 	"lovageslip/upstream"
 )
 
-// link is one connection of a replica to its primary. One goroutine pulls, the
-// other applies what was pulled once the lag has passed.
+// link is one replication connection of a replica to its primary. One goroutine
+// pulls entries, another applies them once the replication lag has passed.
 type link struct {
-	server     *Server
-	target     target
-	conn       net.Conn
-	encoder    *gob.Encoder
-	decoder    *gob.Decoder
+	server  *Server
+	target  target
+	conn    net.Conn
+	encoder *gob.Encoder
+	decoder *gob.Decoder
+	// pullQueued is signalled when a pull is added to queue.
 	pullQueued chan struct{}
 
 	// mu guards queue.
@@ -28,9 +29,10 @@
 	queue []pulled
 }
 
-// pulled is an answered pull that waits for the replication lag.
+// pulled is the reply to a pull, queued until the replication lag has passed.
 type pulled struct {
-	sentAt  time.Time
+	sentAt time.Time
+	// dueAt is when the replication lag has passed.
 	dueAt   time.Time
 	entries []entry
 	history upstream.History
@@ -49,7 +51,7 @@
 	tasks.Go(func() {
 		defer cancel()
 		if err := l.apply(ctx); err != nil {
-			l.server.log.Warn("applying entries failed", "error", err)
+			l.server.log.Warn("applying replicated entries failed", "error", err)
 		}
 	})
 	err = l.fetch(ctx, firstReply.Keep)
@@ -99,8 +101,8 @@
 	}
 }
 
-// dequeueDue takes the pulls whose lag has passed, and returns how long to wait for
-// the next one; zero if the queue is empty.
+// dequeueDue removes the pulls whose lag has passed from the queue. It also
+// returns how long to wait for the next one, or 0 if the queue is empty.
 func (l *link) dequeueDue(now time.Time) ([]pulled, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,12 +148,13 @@
 	}
 }
 
-// applyPulled applies pulls that are due, unless the target has changed.
+// applyPulled applies the entries of pulls whose lag has passed. It fails with
+// *linkRefused if the link has been dropped or replaced since.
 func (s *Server) applyPulled(db *sqlite3.SQLiteConn, t target, ready []pulled) error {
 	s.state.commit.Lock()
 	defer s.state.commit.Unlock()
 	if !s.state.isCurrentLink(t.linkNumber) {
-		return &linkRefused{detail: "target changed"}
+		return &linkRefused{detail: "the link was dropped or replaced before its entries were applied"}
 	}
 	var entries []entry
 	for _, p := range ready {
--- a/standin/messages.go
+++ b/standin/messages.go
@@ -8,17 +8,17 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// messageReader reads frontend messages. Each message is valid until the next
-// is read.
+// messageReader reads the client's messages. It reuses its buffers, so a message
+// is valid only until the next one is read.
 type messageReader struct {
-	r       *bufio.Reader
-	body    []byte
-	query   pgproto3.Query
-	parse   pgproto3.Parse
-	bind    pgproto3.Bind
-	execute pgproto3.Execute
-	desc    pgproto3.Describe
-	close   pgproto3.Close
+	r        *bufio.Reader
+	body     []byte
+	query    pgproto3.Query
+	parse    pgproto3.Parse
+	bind     pgproto3.Bind
+	execute  pgproto3.Execute
+	describe pgproto3.Describe
+	close    pgproto3.Close
 }
 
 const (
@@ -50,7 +50,8 @@
 	return m.body[:n]
 }
 
-// decode returns the message, or nil for one that carries nothing.
+// decode decodes the body of a message of the given kind.
+// Errors: *pgError if the kind is unknown or the body is malformed.
 func (m *messageReader) decode(kind byte, body []byte) (pgproto3.FrontendMessage, error) {
 	var message pgproto3.FrontendMessage
 	switch kind {
@@ -63,7 +64,7 @@
 	case 'E':
 		message = &m.execute
 	case 'D':
-		message = &m.desc
+		message = &m.describe
 	case 'C':
 		message = &m.close
 	case 'S':
--- a/standin/peer.go
+++ b/standin/peer.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// peerClosed reports whether the client has closed the connection. It consumes
-// nothing.
+// peerClosed reports whether the client has closed the connection. It peeks at
+// the socket, so that data from the client stays unread.
 func peerClosed(conn net.Conn) bool {
 	if secured, ok := conn.(*tls.Conn); ok {
 		conn = secured.NetConn()
--- a/standin/pgx_test.go
+++ b/standin/pgx_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against values that change their type or content on the way, in the
-// binary and text formats of pgx's default and simple modes.
+// Guards against values whose type or content changes between client and
+// database, in the binary and text formats of pgx's query modes.
 func TestTypesRoundTrip(t *testing.T) {
 	conn := dial(t, start(t, Options{}))
 	run(t, conn, "CREATE TABLE v (id BIGINT PRIMARY KEY, name TEXT, score DOUBLE PRECISION, data BYTEA, ok BOOLEAN)")
@@ -31,7 +31,7 @@
 	}
 }
 
-// Guards against wrong guesses of parameter and column types.
+// Guards against wrongly inferred types of parameters and columns.
 func TestTypesOfExpressions(t *testing.T) {
 	conn := dial(t, start(t, Options{}))
 	run(t, conn, "CREATE TABLE v (id BIGINT PRIMARY KEY, n INTEGER)")
@@ -46,7 +46,7 @@
 	assert.Equal(t, value[float64](t, conn, "SELECT avg(n) FROM v WHERE id BETWEEN $1 AND $2", 1, 2), 17.5)
 }
 
-// Guards against wrong SQLSTATE codes, which the proxy decides by.
+// Guards against wrong SQLSTATE codes, by which the proxy makes decisions.
 func TestErrorCodes(t *testing.T) {
 	conn := dial(t, start(t, Options{}))
 	run(t, conn, "CREATE TABLE v (id INTEGER PRIMARY KEY, n TEXT NOT NULL)")
@@ -63,7 +63,8 @@
 	run(t, conn, "INSERT INTO v VALUES (3, 'c')")
 }
 
-// Guards against statements that take effect in a failed transaction.
+// Guards against wrong transaction states, and against statements that take effect
+// in a failed transaction.
 func TestTransactionStates(t *testing.T) {
 	server := start(t, Options{})
 	conn := dial(t, server)
@@ -85,8 +86,8 @@
 	assert.Equal(t, int(server.Status().Offset), 2)
 }
 
-// Guards against a lost update: a transaction that read before another
-// committed may not write.
+// Guards against a lost update: a transaction must not write if another one has
+// committed a write since its first read.
 func TestWriteConflict(t *testing.T) {
 	server := start(t, Options{})
 	a, b := dial(t, server), dial(t, server)
@@ -99,8 +100,8 @@
 	assert.Equal(t, value[int64](t, b, "SELECT n FROM v"), int64(2))
 }
 
-// Guards against a cancelled statement that goes on, and against a cancel that
-// hits the next one.
+// Guards against a cancelled statement that goes on, and against a cancel request
+// that cancels the next statement.
 func TestCancel(t *testing.T) {
 	conn := dial(t, start(t, Options{Slots: 1}))
 	done := make(chan error, 1)
@@ -116,12 +117,13 @@
 			assert.Equal(t, value[int64](t, conn, "SELECT 1"), int64(1))
 			return
 		case <-time.After(10 * time.Millisecond):
-			// The cancel came before the statement; it is repeated.
+			// The cancel request arrived before the statement; it is repeated.
 		}
 	}
 }
 
-// Guards against a server that accepts more than it announces.
+// Guards against a server that accepts more sessions than the limit that it
+// announces.
 func TestConnectionLimit(t *testing.T) {
 	server := start(t, Options{MaxConnections: 1})
 	dial(t, server)
--- a/standin/remote.go
+++ b/standin/remote.go
@@ -6,14 +6,16 @@
 	"time"
 )
 
-// controlPrefix starts the settings that control the server itself, so that a
-// server in another process can be controlled with SET:
+// controlPrefix is the prefix of settings that control the server itself. With
+// SET, a test can control a server in another process:
 // standin.lag, standin.service_time, standin.connect_delay (durations),
 // standin.slots, standin.max_connections (numbers), standin.replication_broken
-// and standin.frozen (Booleans). Freezing spares the session that sets it.
+// and standin.frozen (Booleans). The session that sets standin.frozen is not
+// frozen itself, so that it can reset it.
 const controlPrefix = "standin."
 
-// controlServer applies a control setting. It returns false for other settings.
+// controlServer applies a setting that starts with controlPrefix. It returns
+// false for other settings.
 func (s *session) controlServer(name, value string) (bool, *pgError) {
 	name = strings.ToLower(name)
 	if !strings.HasPrefix(name, controlPrefix) {
--- a/standin/replicate.go
+++ b/standin/replicate.go
@@ -33,8 +33,8 @@
 	First   bool
 }
 
-// pullReply answers a pullRequest. Keep answers the first request only: the
-// replica keeps that many entries and discards the rest.
+// pullReply answers a pullRequest. Keep is set in the answer to the first request
+// only: the replica keeps that many entries of its log and discards the rest.
 type pullReply struct {
 	Refused string
 	History upstream.History
@@ -44,14 +44,16 @@
 	More bool
 }
 
-// linkRefused reports that the server at the address does not lead the term.
+// linkRefused reports that replication over a link can't go on: the server at
+// the address isn't the primary of the term, or the link was dropped or replaced.
 type linkRefused struct {
 	detail string
 }
 
 func (e *linkRefused) Error() string { return "replication refused: " + e.detail }
 
-// serveReplica answers pulls on a replication link until it breaks.
+// serveReplica answers the pulls of one replica until the connection breaks, a
+// pull is refused or ctx ends.
 func (s *Server) serveReplica(ctx context.Context, conn net.Conn, reader *bufio.Reader) {
 	decoder, encoder := gob.NewDecoder(reader), gob.NewEncoder(conn)
 	for ctx.Err() == nil {
@@ -66,8 +68,9 @@
 	}
 }
 
-// answerPull waits a little for new entries, so that a replica hears of them
-// without delay and still hears from its primary regularly.
+// answerPull answers a pull by long polling: if there are no new entries, it waits
+// for them for at most longPollTimeout. A replica thus gets entries without delay,
+// and an answer at regular times, by which it knows that its primary is alive.
 func (s *state) answerPull(ctx context.Context, request pullRequest) pullReply {
 	timer := time.NewTimer(longPollTimeout)
 	defer timer.Stop()
@@ -106,9 +109,9 @@
 	return reply, s.changed
 }
 
-// commonPrefix returns how many entries of a log with the given history and
-// end are the same in this server's log: up to the earlier end of the last
-// term that both histories have in common.
+// commonPrefix returns how many entries this server's log has in common with a
+// log of the given history and end. The logs agree up to the earlier of the two
+// ends of the last term that both histories have in common.
 func (s *state) commonPrefix(other upstream.History, end upstream.Offset) upstream.Offset {
 	common := 0
 	for common < len(other) && common < len(s.history) && other[common] == s.history[common] {
@@ -127,7 +130,8 @@
 	return end
 }
 
-// replicate follows whatever primary the state names until run ends.
+// replicate pulls entries from the primary that the state currently names, until
+// ctx ends. It does nothing while there is none or replication is broken.
 func (s *Server) replicate(ctx context.Context) {
 	for ctx.Err() == nil {
 		target, changed := s.state.target()
@@ -151,8 +155,8 @@
 	}
 }
 
-// target is what a replica follows; it is valid while the state's link number
-// stays the same.
+// target is the primary that a replica follows, with the replica's own history
+// and end of log. It is valid while the state's linkNumber stays the same.
 type target struct {
 	address    string
 	term       upstream.Term
@@ -177,8 +181,9 @@
 	return t, s.changed
 }
 
-// runLink runs one link: it finds the common prefix, discards what lies
-// beyond it, then pulls until the link breaks or the target changes.
+// runLink opens a replication link, discards the replica's entries beyond the
+// common prefix of both logs, and pulls until the link breaks or the target
+// changes.
 func (s *Server) runLink(serverCtx context.Context, t target) error {
 	ctx, cancel := context.WithCancel(serverCtx)
 	defer cancel()
@@ -215,15 +220,17 @@
 	return conn, nil
 }
 
-// alignLogWithPrimary makes the replica's log and history a prefix of the primary's.
+// alignLogWithPrimary makes the replica's log and history a prefix of the
+// primary's. It discards the replica's entries beyond reply.Keep, which were
+// written under a term that another primary has replaced.
 func (s *Server) alignLogWithPrimary(t target, reply pullReply) error {
 	s.state.commit.Lock()
 	defer s.state.commit.Unlock()
 	if !s.state.isCurrentLink(t.linkNumber) {
-		return &linkRefused{detail: "target changed"}
+		return &linkRefused{detail: "the link was dropped or replaced before its log was aligned"}
 	}
 	if reply.Keep < t.offset {
-		s.log.Info("discarding forked entries", "kept", reply.Keep, "had", t.offset)
+		s.log.Info("discarding entries that the primary's log does not have", "kept", reply.Keep, "had", t.offset)
 		if err := s.store.rebuild(s.state.log[:reply.Keep]); err != nil {
 			return err
 		}
@@ -240,8 +247,8 @@
 	return nil
 }
 
-// updateHistory takes over the terms that have begun at or before the end of
-// the replica's log. The caller holds mu.
+// updateHistory sets the replica's history to the primary's terms that begin at
+// or before the end of the replica's log. The caller holds mu.
 func (s *state) updateHistory(primary upstream.History) {
 	end := upstream.Offset(len(s.log))
 	begun := 0
--- a/standin/replicate_test.go
+++ b/standin/replicate_test.go
@@ -11,7 +11,7 @@
 	"lovageslip/upstream"
 )
 
-// startGroup starts a primary and replicas that follow it.
+// startGroup starts a primary and replicas that follow it, the primary first.
 func startGroup(t *testing.T, replicas int, options Options) []*Server {
 	t.Helper()
 	servers := []*Server{start(t, options)}
@@ -33,7 +33,7 @@
 }
 
 // Guards against replicas that miss entries, apply them before the lag has
-// passed, take writes, or report an age that doesn't cover the lag.
+// passed, accept writes, or report a data age below the lag.
 func TestReplicationWithLag(t *testing.T) {
 	const lag = 50 * time.Millisecond
 	servers := startGroup(t, 2, Options{Lag: lag})
@@ -51,7 +51,8 @@
 	}
 }
 
-// Guards against entries of a replaced primary that survive on it.
+// Guards against a replaced primary that keeps entries which the new primary's log
+// does not have.
 func TestDivergedEntriesAreDiscarded(t *testing.T) {
 	servers := startGroup(t, 2, Options{})
 	old, chosen, other := servers[0], servers[1], servers[2]
@@ -77,8 +78,8 @@
 	}
 }
 
-// Guards against a fenced server that still applies, commits or follows a
-// lower term.
+// Guards against a fenced server that still applies entries of a lower term,
+// commits in it or follows its primary.
 func TestFenceStopsLowerTerm(t *testing.T) {
 	servers := startGroup(t, 2, Options{})
 	conn := dial(t, servers[0])
@@ -99,7 +100,7 @@
 	assert.Equal(t, value[int64](t, conn, "SELECT count(*) FROM v"), int64(1))
 }
 
-// Guards against state that is lost when a server restarts.
+// Guards against a server that loses its log, role or fenced term when it restarts.
 func TestRestartKeepsLogAndFencedTerm(t *testing.T) {
 	servers := startGroup(t, 1, Options{})
 	run(t, dial(t, servers[0]), "CREATE TABLE v (id INTEGER PRIMARY KEY)")
@@ -115,7 +116,8 @@
 	assert.Equal(t, servers[1].Status().Fenced, upstream.Term(5))
 }
 
-// Guards against a wait that ends early or not at all.
+// Guards against lovageslip_wait returning before the position is reached, or not
+// at all.
 func TestWaitForPosition(t *testing.T) {
 	servers := startGroup(t, 1, Options{})
 	conn := dial(t, servers[1])
@@ -131,11 +133,11 @@
 	assert.Equal(t, servers[1].Status().Offset, upstream.Offset(1))
 }
 
-// Guards against an age that stands still while the primary is unreachable.
+// Guards against a data age that doesn't grow while the primary is unreachable.
 func TestDataAgeGrowsWithoutPrimary(t *testing.T) {
 	servers := startGroup(t, 1, Options{})
 	replica := servers[1]
-	eventually(t, "replica in step", func() bool { return replica.Status().DataAge < time.Second })
+	eventually(t, "replica up to date", func() bool { return replica.Status().DataAge < time.Second })
 	servers[0].Kill()
 	lost := time.Now()
 	eventually(t, "age grows", func() bool { return time.Since(lost) > 200*time.Millisecond })
@@ -143,7 +145,7 @@
 	assert.Assert(t, replica.Status().PrimaryContactAge >= 200*time.Millisecond)
 }
 
-// Guards against a frozen connection that answers, and against new ones that
+// Guards against frozen sessions that answer, and against new sessions that
 // don't.
 func TestFreeze(t *testing.T) {
 	server := start(t, Options{})
@@ -164,7 +166,8 @@
 	<-answered
 }
 
-// Guards against a server in another process that tests can't control.
+// Guards against SET standin.name having no effect: tests control servers in other
+// processes by it.
 func TestControlBySetting(t *testing.T) {
 	servers := startGroup(t, 1, Options{})
 	replica := dial(t, servers[1])
--- a/standin/rest_test.go
+++ b/standin/rest_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against a session that holds the write lock for as long as its client
-// is frozen.
+// sends nothing: idle_in_transaction_session_timeout must end it.
 func TestIdleTransactionEndsItsSession(t *testing.T) {
 	server := start(t, Options{})
 	idle, writer := dial(t, server), dial(t, server)
@@ -22,5 +22,5 @@
 	_, err := writer.Exec(ctx, "UPDATE v SET n = 2")
 	assert.NilError(t, err)
 	_, err = idle.Exec(ctx, "COMMIT")
-	assert.Assert(t, err != nil, "the transaction outlived its limit")
+	assert.Assert(t, err != nil, "the transaction was still open after idle_in_transaction_session_timeout")
 }
--- a/standin/server.go
+++ b/standin/server.go
@@ -17,13 +17,14 @@
 
 const startupTimeout = 10 * time.Second
 
-// accept takes connections until the listener closes.
+// accept accepts connections and serves each in its own goroutine, until the
+// listener closes.
 func (s *Server) accept(ctx context.Context, listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			if ctx.Err() == nil && !errors.Is(err, net.ErrClosed) {
-				s.log.Warn("accepting a connection failed", "error", err)
+				s.log.Warn("accepting a connection failed; the server accepts no more", "error", err)
 			}
 			return
 		}
@@ -54,7 +55,8 @@
 	delete(s.conns, conn)
 }
 
-// Codes in place of a protocol version in a start-up packet.
+// Request codes that a start-up packet has in place of a protocol version, and the
+// limit on a packet's length.
 const (
 	codeSSLRequest    = 80877103
 	codeGSSEncRequest = 80877104
@@ -62,7 +64,8 @@
 	maxStartupBytes   = 10000
 )
 
-// serve handles a connection by what its start-up packet asks for.
+// serve reads a connection's start-up packets and handles what they request: TLS,
+// GSSAPI encryption, a cancel, a replication link or a session.
 func (s *Server) serve(ctx context.Context, conn net.Conn) {
 	_ = conn.SetDeadline(time.Now().Add(startupTimeout))
 	reader := bufio.NewReaderSize(conn, readBufferBytes)
@@ -98,8 +101,9 @@
 	}
 }
 
-// answerSSL returns the connection to go on with. Bytes that came in plaintext
-// behind the request end the connection: they may be somebody else's.
+// answerSSL answers an SSLRequest and returns the connection to go on with. It
+// returns false, which ends the connection, if plaintext bytes followed the
+// request: an attacker may have injected them.
 func (s *Server) answerSSL(conn net.Conn, reader *bufio.Reader) (net.Conn, bool) {
 	if s.options.TLS == nil {
 		_, err := conn.Write([]byte{'N'})
@@ -187,7 +191,8 @@
 	sess.end()
 }
 
-// cancel interrupts what the named session is running.
+// cancel handles a CancelRequest: it interrupts the statement of the session with
+// the given process id, if the secret key matches.
 func (s *Server) cancel(body []byte) {
 	var request pgproto3.CancelRequest
 	if err := request.Decode(body); err != nil {
@@ -202,7 +207,7 @@
 }
 
 // closeTransactions ends the sessions that have a transaction open in SQLite,
-// because the server may not commit it any more.
+// because the server must no longer commit those transactions.
 func (s *Server) closeTransactions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,6 +219,6 @@
 	}
 }
 
-// closeWriters ends the sessions that hold SQLite's write lock, because a
-// server that follows must apply its primary's entries.
+// closeWriters ends the sessions that may hold SQLite's write lock, because a
+// replica needs the lock to apply its primary's entries.
 func (s *Server) closeWriters() { s.closeTransactions() }
--- a/standin/session.go
+++ b/standin/session.go
@@ -23,8 +23,8 @@
 	maxCachedPrepared  = 256
 )
 
-// session is one client connection. One goroutine runs it; interrupt and the
-// atomic fields may be used by others.
+// session is one client connection. One goroutine runs it; others may call
+// interrupt and isBusy and use the atomic fields.
 type session struct {
 	server     *Server
 	conn       net.Conn
@@ -54,7 +54,8 @@
 	settings       settings
 	tx             transaction
 	skippingToSync bool
-	// describing is true while a statement is described, not run.
+	// describing is true while SQLite is asked for the columns of a statement;
+	// pg_sleep then doesn't sleep.
 	describing bool
 }
 
@@ -79,7 +80,9 @@
 	}
 }
 
-// flush writes what has been sent. A frozen session keeps it back.
+// flush writes the buffered messages to the connection. In a frozen session it
+// blocks until the session is unfrozen, the client closes the connection or the
+// server stops.
 func (s *session) flush() error {
 	for s.frozen.Load() {
 		if s.serverCtx.Err() != nil || peerClosed(s.conn) {
@@ -105,10 +108,11 @@
 	return s.flush()
 }
 
-// acquireSlot waits for a slot, in order of arrival, and for the write lock if a
-// write doesn't hold it yet. The lock is never waited for with a slot in hand,
-// because its holder may lack a slot to go on; and whoever got the lock is next
-// for a slot, because others wait for the lock.
+// acquireSlot acquires a slot, in order of arrival, and for a write also the
+// write lock if the session doesn't hold it yet. It releases the slot while it
+// waits for the lock, because the lock's holder may need a slot to go on. A
+// session that had to wait for the lock then gets the next free slot, because
+// other writers wait for it.
 func (s *session) acquireSlot(write bool) *pgError {
 	slots, writer := &s.server.slots, &s.server.writeLock
 	if failure := s.acquireSemaphore(slots.tryAcquire, slots.acquire); failure != nil {
@@ -129,8 +133,9 @@
 	return s.acquireSemaphore(slots.tryAcquire, slots.acquireNext)
 }
 
-// acquireSemaphore takes a place in one of the server's queues. Answers that are already
-// there are sent before a wait, so that the client learns of them.
+// acquireSemaphore acquires one of the server's semaphores by try, or else waits
+// with acquire. Before it waits, it flushes the buffered messages, so that the
+// client gets the answers of earlier statements.
 func (s *session) acquireSemaphore(try func() bool, acquire func(context.Context) error) *pgError {
 	if try() {
 		return nil
@@ -144,7 +149,8 @@
 	return nil
 }
 
-// simulateServiceTime spends the time that the server is set to take for a statement.
+// simulateServiceTime waits for the service time that the server is set to add to
+// each statement.
 func (s *session) simulateServiceTime() *pgError {
 	if limit := time.Duration(s.server.serviceTime.Load()); limit > 0 {
 		if err := s.flush(); err != nil {
@@ -158,7 +164,8 @@
 	return nil
 }
 
-// sendFatal answers an error that ends the connection.
+// sendFatal sends an error with severity FATAL. The caller then closes the
+// connection.
 func (s *session) sendFatal(err *pgError) {
 	err.Severity = "FATAL"
 	s.send(err.response())
@@ -187,8 +194,8 @@
 	}
 }
 
-// nextMessage waits for a message. A transaction that rests for too long ends
-// the session.
+// nextMessage waits for the client's next message. It ends the session if a
+// transaction is open and idle_in_transaction_session_timeout passes.
 func (s *session) nextMessage() (byte, []byte, error) {
 	limit := s.settings.idleInTransactionTimeout()
 	if limit == 0 || s.tx.status() == 'I' {
@@ -247,7 +254,7 @@
 	return err
 }
 
-// fail answers an error and puts the transaction into the failed state.
+// fail sends an error and puts an explicit transaction into the failed state.
 func (s *session) fail(failure *pgError) {
 	s.send(failure.response())
 	s.abort()
@@ -273,7 +280,8 @@
 	s.busy = false
 }
 
-// interrupt cancels what the session is running; an idle session ignores it.
+// interrupt cancels the statement that the session is running. It does nothing if
+// the session is idle.
 func (s *session) interrupt() {
 	s.cancelMu.Lock()
 	defer s.cancelMu.Unlock()
@@ -282,7 +290,8 @@
 	}
 }
 
-// end releases everything that the session holds.
+// end rolls back the session's transaction, which releases the write lock, and
+// closes its database connection.
 func (s *session) end() {
 	s.rollback()
 	s.tx = transaction{}
@@ -298,7 +307,7 @@
 	}
 	s.dropPrepared()
 	if err := s.db.Close(); err != nil {
-		s.server.log.Warn("closing the database failed", "error", err)
+		s.server.log.Warn("closing a session's database connection failed", "error", err)
 	}
 	s.db = nil
 }
@@ -311,7 +320,8 @@
 }
 
 // openDatabase makes sure that the session has a connection to the current
-// database and no outdated descriptions. A transaction keeps its database.
+// generation of the database, and drops compiled statements if the schema has
+// changed. An open transaction keeps its connection.
 func (s *session) openDatabase() *pgError {
 	generation, schema := s.server.store.versions()
 	if s.db != nil && s.generation != generation && !s.tx.openInSQLite {
@@ -344,7 +354,7 @@
 
 func now() string { return time.Now().UTC().Format("2006-01-02 15:04:05.999999") }
 
-// sleep is the SQL function pg_sleep(seconds).
+// sleep implements the SQL function pg_sleep(seconds).
 func (s *session) sleep(seconds any) (string, error) {
 	if s.describing {
 		return "", nil
--- a/standin/settings.go
+++ b/standin/settings.go
@@ -11,17 +11,19 @@
 
 const (
 	readOnlySetting = "default_transaction_read_only"
-	// idleInTransactionSetting is in milliseconds; 0 is no limit.
+	// idleInTransactionSetting has a value in milliseconds; 0 is no limit.
 	idleInTransactionSetting = "idle_in_transaction_session_timeout"
 )
 
-// reportedSettings are sent as ParameterStatus at the start and on change.
+// reportedSettings are sent to the client in ParameterStatus messages, when the
+// session starts and when they change.
 var reportedSettings = []string{
 	"application_name", "client_encoding", "DateStyle", readOnlySetting, "integer_datetimes",
 	"server_encoding", "server_version", "standard_conforming_strings", "TimeZone",
 }
 
-// known holds the default of each setting.
+// knownSettings holds the default value of each setting by lower-case name. Other
+// settings are accepted only if their name has a dot.
 var knownSettings = map[string]string{
 	"application_name":            "",
 	"client_encoding":             "UTF8",
@@ -40,7 +42,8 @@
 	"transaction_isolation":       "serializable",
 }
 
-// settings are a session's settings, by lower-case name.
+// settings holds a session's settings by lower-case name: the current values and
+// those that the session started with, to which RESET returns.
 type settings struct {
 	initial map[string]string
 	values  map[string]string
@@ -57,7 +60,8 @@
 	return settings{initial: initial, values: maps.Clone(initial)}
 }
 
-// startupSettings merges start-up parameters and options=-c name=value.
+// startupSettings returns the parameters of the start-up message, with the
+// settings from its options parameter (-c name=value) added.
 func startupSettings(parameters map[string]string) map[string]string {
 	merged := map[string]string{}
 	for name, value := range parameters {
@@ -76,8 +80,8 @@
 
 func (s *settings) show(name string) string { return s.values[strings.ToLower(name)] }
 
-// idleInTransactionTimeout is how long a transaction may rest between two statements; 0 for no
-// limit.
+// idleInTransactionTimeout returns how long an open transaction may wait for the
+// client's next message; 0 for no limit.
 func (s *settings) idleInTransactionTimeout() time.Duration {
 	ms, err := strconv.Atoi(s.values[idleInTransactionSetting])
 	if err != nil {
@@ -88,7 +92,7 @@
 
 func (s *settings) readOnly() bool { return s.values[readOnlySetting] == "on" }
 
-// set changes a setting; DEFAULT returns it to its initial value.
+// set changes a setting. The value DEFAULT returns it to its initial value.
 func (s *settings) set(name, value string) *pgError {
 	name = strings.ToLower(name)
 	_, exists := s.values[name]
@@ -141,8 +145,8 @@
 	return s.changeSetting(readOnlySetting, value)
 }
 
-// settingAssignment reads name TO value or name = value. A name may have
-// several parts.
+// settingAssignment parses name TO value, name = value or TIME ZONE value. A name
+// may have several parts, separated by dots.
 func settingAssignment(st *statement, words []token) (string, string, bool) {
 	for i, t := range words {
 		if i == 0 || i+1 == len(words) || !t.is("TO") && !t.is("=") {
@@ -170,7 +174,8 @@
 	return text
 }
 
-// changeSetting sets a setting and reports it if its value is reported.
+// changeSetting changes a setting of the session or of the server, and sends a
+// ParameterStatus if it is one of reportedSettings and its value differs.
 func (s *session) changeSetting(name, value string) *pgError {
 	if applied, failure := s.controlServer(name, value); applied {
 		return failure
@@ -242,7 +247,8 @@
 	return value, ok
 }
 
-// settingName gives a setting's name in its usual spelling.
+// settingName returns a setting's name as PostgreSQL spells it: lower case, except
+// for some of reportedSettings.
 func settingName(name string) string {
 	for _, reported := range reportedSettings {
 		if strings.EqualFold(reported, name) {
--- a/standin/slots_test.go
+++ b/standin/slots_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a server that executes more than its slots allow, or that
-// doesn't use them all.
+// Guards against a server that executes more statements at a time than it has
+// slots.
 func TestSlotsBoundExecution(t *testing.T) {
 	const service = 20 * time.Millisecond
 	server := start(t, Options{Slots: 2, ServiceTime: service})
@@ -25,7 +25,8 @@
 	assert.Assert(t, time.Since(began) >= 4*service)
 }
 
-// Guards against places that are granted out of order or lost.
+// Guards against a semaphore that serves waiters out of order, or that loses a unit
+// when a waiter gives up.
 func TestQueueIsFirstComeFirstServed(t *testing.T) {
 	f := &fifoSemaphore{capacity: 1}
 	assert.NilError(t, f.acquire(t.Context()))
@@ -48,8 +49,8 @@
 	assert.Assert(t, f.tryAcquire())
 }
 
-// Guards against a writer that waits for the write lock with a slot in hand, so
-// that the lock's holder can't go on.
+// Guards against a writer that occupies a slot while it waits for the write lock,
+// so that the lock's holder gets no slot and can't go on.
 func TestWaitingWriterHoldsNoSlot(t *testing.T) {
 	server := start(t, Options{Slots: 1})
 	holder, waiter := dial(t, server), dial(t, server)
--- a/standin/sqlrewrite.go
+++ b/standin/sqlrewrite.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// statement is one SQL statement, rewritten for SQLite.
+// statement is one SQL statement of a client, with its text rewritten for SQLite.
 type statement struct {
-	// sql is the text for SQLite: $1 has become ?1, and x::type a CAST.
+	// sql is the text for SQLite: $1 is replaced by ?1, and x::type by a CAST.
 	sql    string
 	source string
 	tokens []token
 	// keyword is the first word in upper case.
 	keyword string
-	// casts holds the type that a cast gives to a parameter, by number.
+	// casts holds the types of parameters that are cast, by parameter number.
 	casts      map[int]uint32
 	parameters int
 }
@@ -42,7 +42,7 @@
 	return s
 }
 
-// recordCastFunctions records CAST($n AS type).
+// recordCastFunctions records the types of parameters in CAST($n AS type).
 func (s *statement) recordCastFunctions() {
 	for i := 0; i+4 < len(s.tokens); i++ {
 		t := s.tokens[i : i+5]
@@ -57,8 +57,10 @@
 	return n
 }
 
-// rewriter writes a statement's tokens in SQLite's dialect. It remembers where
-// the operand before the current token starts, so that a cast can enclose it.
+// rewriter writes a statement's tokens in SQLite's dialect. To replace x::type by
+// CAST(x AS type), it keeps the start of the last operand in out (operandStart)
+// and, if the last token was a parameter, its number (operandParameter, else 0).
+// parenthesisStarts holds, for each open parenthesis, the start of its operand.
 type rewriter struct {
 	query             string
 	statement         *statement
@@ -78,12 +80,12 @@
 			i = r.cast(tokens, i+1)
 			continue
 		}
-		r.copyToken(tokens, i)
+		r.copy(tokens, i)
 	}
 }
 
-// dropRowLock removes a trailing FOR UPDATE or FOR SHARE, which SQLite does
-// not know and, having one writer, doesn't need.
+// dropRowLock removes a trailing FOR UPDATE or FOR SHARE. SQLite doesn't support
+// them, and doesn't need them, because it has only one writer at a time.
 func dropRowLock(tokens []token) []token {
 	n := len(tokens)
 	if n > 2 && tokens[n-2].is("FOR") && (tokens[n-1].is("UPDATE") || tokens[n-1].is("SHARE")) {
@@ -92,7 +94,7 @@
 	return tokens
 }
 
-func (r *rewriter) copyToken(tokens []token, i int) {
+func (r *rewriter) copy(tokens []token, i int) {
 	t := tokens[i]
 	afterName := i > 0 && tokens[i-1].end == t.start && tokens[i-1].kind == tokenWord
 	switch {
@@ -126,8 +128,8 @@
 	r.out = append(r.out, t.text[1:]...)
 }
 
-// cast handles the type name at index i, after "::", and returns the index of
-// the last token that belongs to the type.
+// cast handles a cast whose type name is at index i, after "::". It returns the
+// index of the last token that belongs to the type.
 func (r *rewriter) cast(tokens []token, i int) int {
 	oid := oidOfTypeName(tokens[i].text)
 	if r.operandParameter > 0 {
@@ -163,13 +165,14 @@
 	return len(tokens) - 1
 }
 
-// changesSchema reports whether the statement may change tables, so that
-// cached descriptions must go.
+// changesSchema reports whether the statement may change tables, so that cached
+// compiled statements are outdated.
 func (s *statement) changesSchema() bool {
 	return s.keyword == "CREATE" || s.keyword == "ALTER" || s.keyword == "DROP"
 }
 
-// returnsRows reports whether a writing statement has a RETURNING clause.
+// returnsRows reports whether a statement that writes returns rows, through a
+// RETURNING clause.
 func (s *statement) returnsRows() bool {
 	for _, t := range s.tokens {
 		if t.is("RETURNING") {
@@ -179,7 +182,7 @@
 	return false
 }
 
-// word returns the text of token i in upper case, or "".
+// word returns the text of token i in upper case, or "" if there is no token i.
 func (s *statement) word(i int) string {
 	if i >= len(s.tokens) {
 		return ""
--- a/standin/sqltoken.go
+++ b/standin/sqltoken.go
@@ -13,7 +13,8 @@
 	tokenOperator
 )
 
-// token is one lexical element of a statement. Text of a word is upper case.
+// token is one lexical element of a statement, with its byte range in the source.
+// The text of a word is in upper case.
 type token struct {
 	kind       tokenKind
 	text       string
@@ -100,8 +101,8 @@
 	return 1
 }
 
-// quoteEnd returns the index after the closing quote; a doubled quote stands
-// for itself.
+// quoteEnd returns the index after the quote that closes the one at i. A doubled
+// quote is part of the text.
 func quoteEnd(sql string, i int, quote byte) int {
 	for j := i + 1; j < len(sql); j++ {
 		if sql[j] != quote {
@@ -140,8 +141,8 @@
 
 func isWordPart(c byte) bool { return isWordStart(c) || isDigit(c) || c == '$' }
 
-// splitStatements cuts a token list at its top-level semicolons and drops
-// empty statements.
+// splitStatements splits a token list at its semicolons and drops empty
+// statements.
 func splitStatements(tokens []token) [][]token {
 	var statements [][]token
 	start := 0
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -1,10 +1,12 @@
-// Package standin is a stand-in for the platform's database servers, for tests
-// and measurements. It speaks the PostgreSQL v3 protocol with SQLite behind it,
-// and provides the terms, log positions, replication and functions of
-// docs/design.md section 6. It is not part of the product.
+// Package standin is a stand-in for the platform's database servers. Tests,
+// measurements, the dev command and lovageslip-upstream run it, so that they need
+// no real database. It speaks the PostgreSQL v3 protocol, stores data in SQLite,
+// and provides the terms, log positions, replication and functions that
+// docs/design.md section 6 describes. It is not part of the product.
 //
-// Replication copies the statements of committed transactions, so statements
-// whose result depends on time or chance differ between servers.
+// Servers replicate the statements of committed transactions, so statements
+// whose result depends on the time or on random values give different data on
+// different servers.
 package standin
 
 import (
@@ -28,18 +30,19 @@
 	"lovageslip/upstream"
 )
 
-// DefaultConnectDelay is how long a server takes to accept a connection.
+// DefaultConnectDelay is the time that a new connection takes if
+// Options.ConnectDelay is zero.
 const DefaultConnectDelay = 12 * time.Millisecond
 
 // Options describes a server.
 type Options struct {
 	Log     *slog.Logger
 	Metrics tally.Scope
-	// Name, Database and DataCentre are announced.
+	// Name, Database and DataCentre are sent in announcements.
 	Name       string
 	Database   string
 	DataCentre string
-	// Address to listen on; 127.0.0.1:0 if empty.
+	// Address is the one to listen on; 127.0.0.1:0 if empty.
 	Address string
 	// Advertise is the address that is announced; the listening address if
 	// empty.
@@ -50,27 +53,28 @@
 	Primary string
 	// Term is the first term of the group; 1 if zero.
 	Term upstream.Term
-	// Lag delays the application of replicated entries.
+	// Lag is how long a replica waits before it applies replicated entries.
 	Lag time.Duration
 	// ConnectDelay delays each new connection; DefaultConnectDelay if zero,
 	// none if negative.
 	ConnectDelay time.Duration
-	// ServiceTime is added to each statement, while it holds a slot.
+	// ServiceTime is added to the time that each statement takes, while it
+	// occupies a slot.
 	ServiceTime time.Duration
 	// Slots is the number of statements executed at a time; 0 for no limit.
 	Slots int
-	// MaxConnections is the number of sessions; 0 for no limit.
+	// MaxConnections is the number of sessions open at a time; 0 for no limit.
 	MaxConnections int
-	// AnnounceTo lists base URLs of proxies or control hosts.
+	// AnnounceTo lists the base URLs of proxies or control hosts to announce to.
 	AnnounceTo []string
 	// HTTPClient carries the announcements; a plaintext one if nil.
 	HTTPClient *http.Client
-	// TLS is offered to sessions, which are then refused without it, and so
-	// are cancel requests, so that tests find those in plaintext. Replication
+	// TLS is offered to clients; nil for none. If it is set, sessions and cancel
+	// requests in plaintext are refused, so that tests notice them. Replication
 	// between stand-ins stays in plaintext.
 	TLS *tls.Config
-	// Passwords are the passwords of the users, who log in by SCRAM-SHA-256;
-	// nil trusts every user.
+	// Passwords holds the users' passwords by user name. Users log in by
+	// SCRAM-SHA-256; if it is empty, every user is accepted without a password.
 	Passwords map[string]string
 }
 
@@ -81,7 +85,7 @@
 	metrics          tally.Scope
 	address          string
 	tempDir          string
-	passwordVerifier *pgscram.Verifier // nil trusts every user
+	passwordVerifier *pgscram.Verifier // nil accepts every user
 
 	state     *state
 	store     *store
@@ -187,7 +191,8 @@
 	return nil
 }
 
-// startGoroutines starts the server's goroutines on a listener that is open.
+// startGoroutines starts the goroutines that accept connections, replicate and
+// announce. The listener must be open.
 func (s *Server) startGoroutines() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -205,8 +210,9 @@
 	}
 }
 
-// Kill stops the server abruptly: its listener and connections close, and open
-// transactions are lost. Its log, role and promises remain for Restart.
+// Kill stops the server abruptly, like a crash: its listener and connections
+// close, and open transactions are lost. Its log, role, term and fenced term are
+// kept for Restart.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	if !s.running {
@@ -224,7 +230,7 @@
 	tasks.Wait()
 }
 
-// Restart starts a killed server on its former address.
+// Restart starts a killed server again on the same address.
 // Errors: *fault.IO if the address is taken.
 func (s *Server) Restart() error {
 	if err := s.listen(s.address); err != nil {
@@ -235,7 +241,7 @@
 	return nil
 }
 
-// Close stops the server for good and deletes its temporary files.
+// Close stops the server and deletes its temporary files.
 func (s *Server) Close() {
 	s.Kill()
 	if s.tempDir != "" {
@@ -246,13 +252,14 @@
 // Address returns the IP number and port that the server listens on.
 func (s *Server) Address() string { return s.address }
 
-// Name returns the announced name.
+// Name returns the name that the server announces.
 func (s *Server) Name() string { return s.options.Name }
 
-// Status returns the server's own status.
+// Status returns what the function lovageslip_status reports.
 func (s *Server) Status() upstream.Status { return s.state.status() }
 
-// SetLag changes the replication lag for entries fetched from now on.
+// SetLag changes the replication lag for entries that the server pulls from now
+// on.
 func (s *Server) SetLag(lag time.Duration) { s.lag.Store(int64(lag)) }
 
 // SetConnectDelay changes the time that a new connection takes.
@@ -268,17 +275,18 @@
 // that are open stay open.
 func (s *Server) SetMaxConnections(n int) { s.maxSessions.Store(int64(n)) }
 
-// SetReplicationBroken cuts the link to this replica's primary, or heals it.
+// SetReplicationBroken breaks the replication link to this replica's primary, or
+// lets it be opened again.
 func (s *Server) SetReplicationBroken(broken bool) {
 	s.replicationBroken.Store(broken)
 	s.state.dropLink()
 }
 
-// Freeze makes the sessions that are open now stop answering, while new ones
-// work. Unfreeze lets them continue.
+// Freeze makes the sessions that are open now stop sending answers until
+// Unfreeze. Sessions opened later are not affected.
 func (s *Server) Freeze() { s.setFrozen(true) }
 
-// Unfreeze ends Freeze.
+// Unfreeze lets all frozen sessions answer again.
 func (s *Server) Unfreeze() { s.setFrozen(false) }
 
 func (s *Server) setFrozen(frozen bool) {
@@ -296,12 +304,14 @@
 	return len(s.sessions)
 }
 
-// Statements returns how many statements of callers the server has begun. Its own
-// functions, replication and statements about a session's settings don't count.
+// Statements returns how many statements the server has begun to run in SQLite for
+// clients. It doesn't count the platform's functions, replicated statements, and
+// statements about the session or the transaction.
 func (s *Server) Statements() int64 { return s.statements.Load() }
 
-// AnnounceLeaving tells every announced address that the server is leaving.
-// It returns once one has answered.
+// AnnounceLeaving announces that the server is leaving, to the addresses of
+// Options.AnnounceTo in turn, until one has answered or ctx ends.
+// Errors: that of the last announcement if ctx ends before an answer.
 func (s *Server) AnnounceLeaving(ctx context.Context) error {
 	s.mu.Lock()
 	a := s.announcer
--- a/standin/standin_test.go
+++ b/standin/standin_test.go
@@ -59,7 +59,7 @@
 	return v
 }
 
-// eventually waits for a condition, because replication takes its time.
+// eventually waits until the condition holds, because replication is asynchronous.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
--- a/standin/state.go
+++ b/standin/state.go
@@ -8,26 +8,27 @@
 	"lovageslip/upstream"
 )
 
-// unknownAge is reported while a replica has never been in step with its
-// primary.
+// unknownAge is the data age that a replica reports until it has applied all
+// entries of its primary for the first time.
 const unknownAge = 365 * 24 * time.Hour
 
-// entry is one committed transaction.
+// entry is one committed transaction in a server's log.
 type entry struct {
 	Term       upstream.Term
 	Statements []loggedStatement
 }
 
-// loggedStatement is a statement as SQLite ran it.
+// loggedStatement is a statement of an entry, with the text and arguments that
+// SQLite ran. Schema is true if it may change tables.
 type loggedStatement struct {
 	SQL    string
 	Args   []loggedValue
 	Schema bool
 }
 
-// state is a server's place in its group. Every change of it that must be
-// atomic with a commit or with the application of entries happens under
-// commit; a lock of both takes commit first.
+// state holds a server's role, term and log. A change that must be atomic with a
+// commit or with the application of entries is made with the mutex commit
+// locked. Whoever locks both mutexes locks commit first.
 type state struct {
 	// commit serializes commits, application of entries, fencing, promotion
 	// and following.
@@ -40,16 +41,19 @@
 	fenced  upstream.Term
 	history upstream.History
 	log     []entry
-	// primary is the address that a replica follows; empty if it must not
-	// follow anyone.
+	// primary is the address of the primary that a replica follows; empty if
+	// it must not follow any server.
 	primary string
-	// linkNumber changes whenever replication must start anew.
+	// linkNumber is incremented when a replication link must end. Entries that
+	// were pulled under an earlier number are not applied.
 	linkNumber uint64
-	// upToDateAt is the send time of the last pull whose answer is fully applied.
+	// upToDateAt is the time at which the last pull was sent whose answer held
+	// all further entries of the primary and has been applied. Zero if there
+	// was none.
 	upToDateAt time.Time
-	// lastContact is the time of the last answer of the primary.
+	// lastContact is the time of the primary's last answer.
 	lastContact time.Time
-	// changed is closed and replaced at each change.
+	// changed is closed and replaced at each change that notify announces.
 	changed chan struct{}
 }
 
@@ -72,8 +76,8 @@
 	s.notify()
 }
 
-// resetAfterRestart forgets what a new process can't know: when it last heard from
-// its primary.
+// resetAfterRestart clears what a server doesn't know after a restart: when it was
+// up to date and when its primary last answered.
 func (s *state) resetAfterRestart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +87,7 @@
 	s.notify()
 }
 
-// notify wakes all that wait for a change. The caller holds mu.
+// notify wakes all goroutines that wait for a change. The caller holds mu.
 func (s *state) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -121,8 +125,8 @@
 	return s.statusLocked(time.Now()), s.changed
 }
 
-// mayWrite reports whether the server leads its term and has promised to no
-// higher one.
+// mayWrite returns the server's term, and whether the server is the primary of
+// that term and isn't fenced at a higher one.
 func (s *state) mayWrite() (upstream.Term, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -133,8 +137,9 @@
 	return s.role == upstream.RolePrimary && s.fenced <= s.term
 }
 
-// commitEntry runs commit and appends its statements to the log, unless the
-// term in which the transaction wrote has ended; then it refuses.
+// commitEntry runs commit and appends the transaction's statements to the log. It
+// fails with a read-only error if the server is no longer the primary of the
+// term in which the transaction wrote.
 func (s *state) commitEntry(term upstream.Term, statements []loggedStatement, commit func() error) error {
 	s.commit.Lock()
 	defer s.commit.Unlock()
@@ -156,8 +161,9 @@
 	return &pgError{Code: codeTermTooLow, Message: message}
 }
 
-// fence promises to accept nothing below term. A link of a lower term ends at
-// once, and nothing that it fetched is applied any more.
+// fence makes the server refuse everything from terms below term. A replication
+// link of a lower term ends, and entries that it has pulled but not applied are
+// discarded.
 func (s *state) fence(term upstream.Term) *pgError {
 	s.commit.Lock()
 	defer s.commit.Unlock()
--- a/standin/store.go
+++ b/standin/store.go
@@ -11,8 +11,8 @@
 	"lovageslip/fault"
 )
 
-// store is the server's SQLite database. When a forked tail of the log is
-// discarded, a new file of the next generation replaces the old one.
+// store is the server's SQLite database. When entries at the end of the log are
+// discarded, a new file replaces the old one, with a generation one higher.
 type store struct {
 	dir string
 
@@ -26,7 +26,7 @@
 	return filepath.Join(s.dir, fmt.Sprintf("data-%d.sqlite", generation))
 }
 
-// create makes an empty database file of the current generation.
+// create creates an empty database file of the current generation.
 func (s *store) create() error {
 	db, _, err := s.open()
 	if err != nil {
@@ -35,7 +35,7 @@
 	return db.Close()
 }
 
-// versions returns the generation and the version of the schema.
+// versions returns the generation and the schema version.
 func (s *store) versions() (int, uint64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -55,14 +55,16 @@
 	s.schemaVersion++
 }
 
-// open opens a connection to the current generation, which it returns too.
+// open opens a connection to the database file of the current generation, and
+// returns the generation too.
 func (s *store) open() (*sqlite3.SQLiteConn, int, error) {
 	generation, _ := s.versions()
 	db, err := s.openGeneration(generation)
 	return db, generation, err
 }
 
-// Durability is not under test, so nothing is synced.
+// sqliteSettings turn off SQLite's syncing to disk (_synchronous=OFF), because the
+// stand-in isn't used to test durability.
 const sqliteSettings = "?_journal_mode=WAL&_synchronous=OFF&_busy_timeout=5000&_stmt_cache_size=64"
 
 func (s *store) openGeneration(generation int) (*sqlite3.SQLiteConn, error) {
@@ -102,8 +104,8 @@
 	return nil
 }
 
-// rebuild creates the next generation from a prefix of the log. The caller
-// holds the state's commit lock.
+// rebuild creates the next generation of the database from a prefix of the log.
+// The caller holds the state's commit mutex.
 func (s *store) rebuild(entries []entry) error {
 	generation, _ := s.versions()
 	db, err := s.openGeneration(generation + 1)
@@ -128,7 +130,8 @@
 	kindBlob
 )
 
-// loggedValue is an argument in a form that encoding/gob can carry.
+// loggedValue is an argument of a statement in a form that encoding/gob can
+// encode.
 type loggedValue struct {
 	Kind  valueKind
 	Int   int64
--- a/standin/transaction.go
+++ b/standin/transaction.go
@@ -6,8 +6,8 @@
 	"lovageslip/upstream"
 )
 
-// transaction is the state of a session's transaction. The zero value is no
-// transaction.
+// transaction is the state of a session's transaction. The zero value means that
+// the session has none.
 type transaction struct {
 	// explicit is true after BEGIN.
 	explicit bool
@@ -17,13 +17,17 @@
 	openInSQLite bool
 	// holdsWriteLock is true while the session holds the server's write lock.
 	holdsWriteLock bool
-	term           upstream.Term
-	statements     []loggedStatement
-	savepoints     []savepoint
+	// term is the server's term at the transaction's writes.
+	term upstream.Term
+	// statements are the writes to log at commit.
+	statements []loggedStatement
+	savepoints []savepoint
 }
 
 type savepoint struct {
-	name           string
+	name string
+	// statementCount is how many statements the transaction had when the
+	// savepoint was made.
 	statementCount int
 }
 
@@ -44,8 +48,8 @@
 	return s.settings.readOnly()
 }
 
-// beginInSQLite opens SQLite's transaction. It is called late, so that a
-// transaction that does nothing costs nothing.
+// beginInSQLite opens SQLite's transaction if it isn't open. It is called at the
+// first statement that needs it, so that an empty transaction costs nothing.
 func (s *session) beginInSQLite() *pgError {
 	if s.tx.openInSQLite {
 		return nil
@@ -58,7 +62,8 @@
 	return nil
 }
 
-// checkWrite refuses a write that the session or the server may not do.
+// checkWrite returns a read-only error if the session is read-only or the server
+// may not write.
 func (s *session) checkWrite(keyword string) *pgError {
 	if s.readOnly() {
 		return readOnlyError(keyword)
@@ -69,14 +74,15 @@
 	return nil
 }
 
-// beginWrite opens SQLite's transaction for a write. The session holds the
-// server's write lock, so that SQLite never has to wait for its own.
+// beginWrite opens SQLite's transaction for a write. The session already holds the
+// server's write lock, so that it never waits for SQLite's lock.
 func (s *session) beginWrite(keyword string) *pgError {
 	if failure := s.beginInSQLite(); failure != nil {
 		return failure
 	}
-	// Checked again after the transaction is visible to closeTransactions,
-	// so that a server that lost its role in between holds no lock.
+	// The server may have lost its role since checkWrite. The role is checked
+	// again now that closeTransactions sees the transaction, so that none
+	// keeps SQLite's lock on a server that has become a replica.
 	term, ok := s.server.state.mayWrite()
 	if !ok || len(s.tx.statements) > 0 && s.tx.term != term {
 		return readOnlyError(keyword)
@@ -85,7 +91,8 @@
 	return nil
 }
 
-// commit ends SQLite's transaction and logs what it wrote.
+// commit commits SQLite's transaction and appends what it wrote to the log. It
+// rolls back on an error.
 func (s *session) commit() *pgError {
 	if !s.tx.openInSQLite {
 		return nil
@@ -139,8 +146,9 @@
 	s.tx.savepoints = nil
 }
 
-// abort is called after an error. A transaction without savepoints gives up
-// its locks at once.
+// abort marks an explicit transaction as failed after an error. It rolls back at
+// once, which releases the locks, unless the client can still return to a
+// savepoint.
 func (s *session) abort() {
 	if s.tx.explicit {
 		s.tx.failed = true
@@ -151,8 +159,8 @@
 	s.rollback()
 }
 
-// commitImplicit commits what a Query or the messages up to a Sync wrote outside
-// of an explicit transaction.
+// commitImplicit commits what a Query, or a sequence of messages up to a Sync,
+// wrote outside of an explicit transaction.
 func (s *session) commitImplicit() *pgError {
 	if s.tx.explicit {
 		return nil
@@ -162,7 +170,8 @@
 	return failure
 }
 
-// executeTransactionStatement runs transaction statements. It returns false for other statements.
+// executeTransactionStatement runs a statement that begins or ends a transaction
+// or rolls back to a savepoint. It returns false for other statements.
 func (s *session) executeTransactionStatement(st *statement) (string, *pgError, bool) {
 	switch st.keyword {
 	case "BEGIN", "START":
@@ -200,7 +209,8 @@
 	return "BEGIN", nil
 }
 
-// setAccessMode applies READ ONLY or READ WRITE, wherever a statement has it.
+// setAccessMode applies READ ONLY or READ WRITE, which may stand anywhere in the
+// statement.
 func (s *session) setAccessMode(st *statement) {
 	for i := range st.tokens {
 		if st.word(i) != "READ" {
--- a/standin/types.go
+++ b/standin/types.go
@@ -29,8 +29,8 @@
 	formatBinary = 1
 )
 
-// oidOfTypeName maps a declared SQL type to a type OID by SQLite's affinity
-// rules; text is the default.
+// oidOfTypeName maps the name of an SQL type to a type OID, like SQLite's affinity
+// rules. An unrecognised name is mapped to text.
 func oidOfTypeName(name string) uint32 {
 	name = strings.ToUpper(name)
 	contains := func(part string) bool { return strings.Contains(name, part) }
@@ -53,7 +53,8 @@
 	return oidText
 }
 
-// oidOfDeclared maps a column's declared type; SQLite integers are 64 bit.
+// oidOfDeclared maps a column's declared type to a type OID. All integer columns
+// are int8, because SQLite's integers have 64 bits.
 func oidOfDeclared(name string) uint32 {
 	oid := oidOfTypeName(name)
 	if oid == oidInt4 || oid == oidInt2 {
@@ -74,7 +75,7 @@
 	return "TEXT"
 }
 
-// oidOfValue returns the type of a value that SQLite delivered, or 0 for NULL.
+// oidOfValue returns the type OID of a value from SQLite, or 0 for NULL.
 func oidOfValue(v any) uint32 {
 	switch v.(type) {
 	case int64:
@@ -105,8 +106,8 @@
 	return -1
 }
 
-// appendValue appends a DataRow field: its length and the value in the format
-// and type that the field was described with.
+// appendValue appends one field of a DataRow: its length, then the value in the
+// given type and format, which are those of the RowDescription.
 func appendValue(out []byte, v any, oid uint32, format int16) []byte {
 	if v == nil {
 		return append(out, 0xff, 0xff, 0xff, 0xff)
@@ -207,7 +208,7 @@
 	return 0
 }
 
-// decodeParameter turns a Bind parameter into a value for SQLite.
+// decodeParameter decodes a parameter of a Bind message into a value for SQLite.
 func decodeParameter(raw []byte, oid uint32, format int16) (any, *pgError) {
 	if raw == nil {
 		return nil, nil
