--- a/standin/announce.go
+++ b/standin/announce.go
@@ -19,7 +19,8 @@
 	announceTimeout  = time.Second
 )
 
-// announcer tells the proxies or control hosts of the server.
+// announcer reports the server's role, term and capacity to the proxies or
+// control hosts given in Options.AnnounceTo.
 type announcer struct {
 	server  *Server
 	clients []lovageslipv1connect.ControlServiceClient
@@ -37,35 +38,38 @@
 	return a
 }
 
-// identity is the part of an announcement whose change is announced at once.
+// identity is the part of the server's status that is announced as soon as it
+// changes, without waiting for announceInterval.
 type identity struct {
 	role upstream.Role
 	term upstream.Term
 }
 
-// run announces at the start, on each change of role or term until answered,
-// and every announceInterval.
+// run announces the server when it starts, when its role or term changes, and
+// every announceInterval. An announcement that no address answered is repeated
+// after announceInterval.
 func (a *announcer) run(ctx context.Context) {
 	var announced identity
 	answered := false
 	for ctx.Err() == nil {
 		status, changed := a.server.state.watch()
-		current := identity{role: status.Role, term: status.Term}
-		if answered && current == announced {
-			a.pause(ctx, current, changed)
+		currentIdentity := identity{role: status.Role, term: status.Term}
+		if answered && currentIdentity == announced {
+			a.waitUntilDue(ctx, currentIdentity, changed)
 			answered = false
 			continue
 		}
 		answered = a.announce(ctx) == nil
-		announced = current
+		announced = currentIdentity
 		if !answered {
 			waitFor(ctx, nil, announceInterval)
 		}
 	}
 }
 
-// pause waits until the next announcement is due.
-func (a *announcer) pause(ctx context.Context, announced identity, changed <-chan struct{}) {
+// waitUntilDue returns when announceInterval has passed, the role or term
+// differs from the announced one, or ctx ends.
+func (a *announcer) waitUntilDue(ctx context.Context, announced identity, changed <-chan struct{}) {
 	timer := time.NewTimer(announceInterval)
 	defer timer.Stop()
 	for {
@@ -84,14 +88,15 @@
 	}
 }
 
-// announce sends one announcement to each address until one answers.
+// announce sends the announcement to one address after the other until one
+// answers. It returns the last error if none does.
 func (a *announcer) announce(ctx context.Context) error {
 	var err error
 	for _, client := range a.clients {
 		if err = a.announceTo(ctx, client); err == nil {
 			return nil
 		}
-		a.server.log.Debug("announcement failed", "error", err)
+		a.server.log.Debug("announcement to a proxy or control host failed", "error", err)
 	}
 	return err
 }
@@ -119,7 +124,8 @@
 	}
 }
 
-// leave announces that the server is leaving, until one address has answered.
+// leave announces that the server is leaving. It repeats this until an address
+// has answered or ctx ends.
 func (a *announcer) leave(ctx context.Context) error {
 	a.leaving.Store(true)
 	for {
@@ -127,6 +133,6 @@
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
-		waitFor(ctx, nil, relinkDelay)
+		waitFor(ctx, nil, reconnectDelay)
 	}
 }
--- a/standin/auth.go
+++ b/standin/auth.go
@@ -4,22 +4,23 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// authenticate checks the transport and the password of a new session. It
-// returns nil if the session may go on.
+// authenticate checks that a new session uses TLS if the server requires it,
+// and verifies the user's password. It returns nil if the session is accepted.
 func (s *session) authenticate(user string) *pgError {
 	if s.server.options.TLS != nil && !isTLS(s.conn) {
 		return &pgError{Code: codeNotAuthorized, Message: "connections without TLS are not accepted"}
 	}
-	if s.server.logins == nil {
+	if s.server.passwordVerifier == nil {
 		return nil
 	}
-	if err := s.server.logins.Verify(user, passwordMessages{s}); err != nil {
+	if err := s.server.passwordVerifier.Verify(user, passwordMessages{s}); err != nil {
 		return &pgError{Code: codeBadPassword, Message: "password authentication failed for user " + user}
 	}
 	return nil
 }
 
-// passwordMessages carries the messages of a login.
+// passwordMessages exchanges the SCRAM messages of a login over the session's
+// connection.
 type passwordMessages struct{ session *session }
 
 // Send implements pgscram.Messages.
@@ -30,7 +31,7 @@
 
 // Receive implements pgscram.Messages.
 func (m passwordMessages) Receive() ([]byte, error) {
-	kind, body, err := m.session.in.next()
+	kind, body, err := m.session.reader.next()
 	if err == nil && kind != 'p' {
 		err = &pgError{Code: codeProtocol, Message: "expected a password message"}
 	}
--- a/standin/describe.go
+++ b/standin/describe.go
@@ -7,7 +7,7 @@
 	"github.com/mattn/go-sqlite3"
 )
 
-// fieldsOf returns the columns of a statement's answer without running it.
+// fieldsOf returns the columns of a statement's result without running it.
 func (s *session) fieldsOf(named *namedStatement) ([]field, *pgError) {
 	if named.described || named.st == nil {
 		return named.fields, nil
@@ -28,7 +28,7 @@
 		name, _, failure := s.showValue(st)
 		return []field{{name: name, oid: oidText}}, failure
 	}
-	if !inDatabase(st) {
+	if !runsInSQLite(st) {
 		return nil, nil
 	}
 	p, failure := s.prepare(st.sql)
@@ -44,41 +44,42 @@
 	return s.describeReturning(st, oids), nil
 }
 
-// describeRead lets SQLite name and type the columns. The text is wrapped so
-// that no row is computed.
+// describeRead asks SQLite for the names and types of a query's columns. The
+// query is wrapped in a SELECT with LIMIT 0, so that it computes no rows.
 func (s *session) describeRead(st *statement, p *prepared, oids []uint32) ([]field, *pgError) {
 	probe, err := s.db.Prepare("SELECT * FROM (" + st.sql + "\n) LIMIT 0")
 	if err != nil {
-		// Not a query, such as PRAGMA or EXPLAIN.
+		// PRAGMA and EXPLAIN can't stand in a subquery; they are run as they are.
 		probe = p.stmt
 	} else {
 		defer probe.Close()
 	}
-	// SQLite may call pg_sleep for a row that the limit then cuts off.
+	// SQLite may evaluate pg_sleep for a row that LIMIT 0 then removes, so
+	// pg_sleep returns at once while a query is described.
 	s.describing = true
 	defer func() { s.describing = false }()
 	stmt := probe.(*sqlite3.SQLiteStmt)
 	result, err := stmt.QueryContext(s.ctx, namedValues(nil, stmt.NumInput()))
 	if err != nil {
-		return nil, s.failure(err)
+		return nil, s.statementError(err)
 	}
 	defer result.Close()
 	described := &prepared{}
-	described.describe(result.(*sqlite3.SQLiteRows))
+	described.readColumns(result.(*sqlite3.SQLiteRows))
 	fields := described.fields
-	s.guessFields(st, described, oids, fields)
+	s.inferFieldTypes(st, described, oids, fields)
 	return fields, nil
 }
 
 func (s *session) describeReturning(st *statement, oids []uint32) []field {
-	guess := s.newGuess(st, oids)
+	inference := s.newTypeInference(st, oids)
 	var fields []field
 	for _, expression := range splitList(afterWord(st.tokens, "RETURNING")) {
 		if len(expression) == 1 && expression[0].is("*") {
-			fields = append(fields, guess.tables.all()...)
+			fields = append(fields, inference.tables.all()...)
 			continue
 		}
-		fields = append(fields, field{name: columnName(st, expression), oid: guess.expression(withoutAlias(expression))})
+		fields = append(fields, field{name: columnName(st, expression), oid: inference.expressionType(withoutAlias(expression))})
 	}
 	return fields
 }
@@ -92,23 +93,24 @@
 	return unquote(st.source[last.start-base : last.end-base])
 }
 
-// guessFields types the columns that are expressions by their text.
-func (s *session) guessFields(st *statement, p *prepared, oids []uint32, fields []field) {
-	var guess *guess
+// inferFieldTypes sets the types of columns without a declared type, which are
+// expressions, by the text of the select list.
+func (s *session) inferFieldTypes(st *statement, p *prepared, oids []uint32, fields []field) {
+	var inference *typeInference
 	list := splitList(selectList(st.tokens))
 	for i := range fields {
-		if p.declared[i] || len(list) != len(fields) {
+		if p.hasDeclaredType[i] || len(list) != len(fields) {
 			continue
 		}
-		if guess == nil {
-			guess = s.newGuess(st, oids)
+		if inference == nil {
+			inference = s.newTypeInference(st, oids)
 		}
-		fields[i].oid = guess.expression(withoutAlias(list[i]))
+		fields[i].oid = inference.expressionType(withoutAlias(list[i]))
 	}
 }
 
-// selectList returns the tokens between the first SELECT outside parentheses
-// and its FROM.
+// selectList returns the select list of the first SELECT outside parentheses:
+// the tokens up to its FROM or another clause that ends the list.
 func selectList(tokens []token) []token {
 	list := afterWord(tokens, "SELECT")
 	depth := 0
@@ -167,18 +169,18 @@
 	return expression
 }
 
-// tableColumns holds the declared types of the columns that a statement may
-// refer to.
+// tableColumns holds the columns of the tables that a statement names, in the
+// order of their declaration and by upper-case name.
 type tableColumns struct {
-	order []field
-	types map[string]uint32
+	ordered    []field
+	typeByName map[string]uint32
 }
 
-func (t *tableColumns) all() []field { return t.order }
+func (t *tableColumns) all() []field { return t.ordered }
 
-// readTables reads the columns of every name in the statement that is a table.
+// readTables reads the columns of every table that the statement names.
 func (s *session) readTables(st *statement) *tableColumns {
-	tables := &tableColumns{types: map[string]uint32{}}
+	tables := &tableColumns{typeByName: map[string]uint32{}}
 	seen := map[string]bool{}
 	for i, t := range st.tokens {
 		isName := t.kind == tokenWord || t.kind == tokenQuoted
@@ -211,7 +213,7 @@
 		column, _ := dest[0].(string)
 		declared, _ := dest[1].(string)
 		oid := oidOfDeclared(declared)
-		tables.order = append(tables.order, field{name: column, oid: oid})
-		tables.types[strings.ToUpper(column)] = oid
+		tables.ordered = append(tables.ordered, field{name: column, oid: oid})
+		tables.typeByName[strings.ToUpper(column)] = oid
 	}
 }
--- a/standin/errors.go
+++ b/standin/errors.go
@@ -9,7 +9,7 @@
 	"github.com/mattn/go-sqlite3"
 )
 
-// SQLSTATE codes that the stand-in answers with.
+// SQLSTATE codes that the stand-in sends in error responses.
 const (
 	codeReadOnly           = "25006"
 	codeFailedTransaction  = "25P02"
@@ -29,7 +29,8 @@
 	codeInternal           = "XX000"
 )
 
-// pgError is an error that is answered to the client.
+// pgError is an error that is sent to the client in an ErrorResponse. Severity
+// is ERROR if empty.
 type pgError struct {
 	Code     string
 	Message  string
@@ -59,14 +60,14 @@
 	return &pgError{Code: codeCancelled, Message: "canceling statement due to user request"}
 }
 
-// databaseError maps an error of SQLite to a SQLSTATE.
+// databaseError maps an error of SQLite to a pgError with a matching SQLSTATE.
 func databaseError(err error) *pgError {
 	if errors.Is(err, context.Canceled) {
 		return cancelledError()
 	}
-	var known *pgError
-	if errors.As(err, &known) {
-		return known
+	var pgErr *pgError
+	if errors.As(err, &pgErr) {
+		return pgErr
 	}
 	var failure sqlite3.Error
 	if !errors.As(err, &failure) {
@@ -107,9 +108,10 @@
 	return "23000"
 }
 
-// codeOfMessage tells apart the errors that SQLite only describes in words.
+// codeOfMessage maps an error of SQLite by its message, because SQLite reports
+// these errors under one generic code.
 func codeOfMessage(message string) string {
-	known := []struct{ part, code string }{
+	codes := []struct{ part, code string }{
 		{"no such table", "42P01"},
 		{"no such column", "42703"},
 		{"no such function", "42883"},
@@ -117,7 +119,7 @@
 		{"syntax error", "42601"},
 		{"incomplete input", "42601"},
 	}
-	for _, k := range known {
+	for _, k := range codes {
 		if strings.Contains(message, k.part) {
 			return k.code
 		}
--- a/standin/failover_test.go
+++ b/standin/failover_test.go
@@ -13,35 +13,35 @@
 	"lovageslip/upstream"
 )
 
-// changingGroup is a group whose primary is replaced while writers run.
-type changingGroup struct {
+// failoverGroup is a group of servers whose primary is replaced while writers run.
+type failoverGroup struct {
 	servers []*Server
 	primary atomic.Pointer[Server]
-	next    atomic.Int64
-	done    atomic.Bool
+	lastID  atomic.Int64
+	stopped atomic.Bool
 	mu      sync.Mutex
-	// confirmed lists the rows that a majority held under one term. mu
-	// guards it.
+	// confirmed lists the ids of rows that a majority of the servers held
+	// under one term. mu guards it.
 	confirmed []int64
 }
 
-// write inserts rows into whichever server is the primary and notes those that
-// a second server holds, as the owner of a primary does.
-func (g *changingGroup) write(ctx context.Context) {
-	for !g.done.Load() {
+// write inserts rows into the current primary and records those that a second
+// server has replicated as confirmed, as the owner of a primary does.
+func (g *failoverGroup) write(ctx context.Context) {
+	for !g.stopped.Load() {
 		server := g.primary.Load()
 		conn, err := pgconn.Connect(ctx, "postgres://u@"+server.Address()+"/db")
 		if err != nil {
 			continue
 		}
-		for g.writeRow(ctx, server, conn) && !g.done.Load() {
+		for g.writeRow(ctx, server, conn) && !g.stopped.Load() {
 		}
 		conn.Close(ctx)
 	}
 }
 
-func (g *changingGroup) writeRow(ctx context.Context, server *Server, conn *pgconn.PgConn) bool {
-	id := g.next.Add(1)
+func (g *failoverGroup) writeRow(ctx context.Context, server *Server, conn *pgconn.PgConn) bool {
+	id := g.lastID.Add(1)
 	before := server.Status()
 	_, err := conn.ExecParams(ctx, "INSERT INTO v VALUES ($1::int8)", [][]byte{appendText(nil, id, oidInt8)}, nil, nil, nil).Close()
 	if err != nil {
@@ -49,12 +49,12 @@
 	}
 	after := server.Status()
 	if before.Role != upstream.RolePrimary || after.Role != upstream.RolePrimary || before.Term != after.Term {
-		// The position may be one of another primary's log.
+		// The position may belong to another primary's log.
 		return false
 	}
 	position := after.Position()
 	for range 50 {
-		if g.held(server, position) {
+		if g.isReplicated(server, position) {
 			g.mu.Lock()
 			g.confirmed = append(g.confirmed, id)
 			g.mu.Unlock()
@@ -65,7 +65,7 @@
 	return false
 }
 
-func (g *changingGroup) held(writer *Server, p upstream.Position) bool {
+func (g *failoverGroup) isReplicated(writer *Server, p upstream.Position) bool {
 	for _, s := range g.servers {
 		status := s.Status()
 		if s != writer && status.Term == p.Term && status.Fenced == p.Term && status.Includes(p) {
@@ -75,41 +75,44 @@
 	return false
 }
 
-// change replaces the primary at a term, while the old one may be cut off.
-func (g *changingGroup) change(t *testing.T, term int) {
+// failOver makes another server the primary of term: it fences all servers but the
+// old primary, promotes the one with the most recent log and makes the others
+// follow it.
+func (g *failoverGroup) failOver(t *testing.T, term int) {
 	t.Helper()
-	old := g.primary.Load()
+	oldPrimary := g.primary.Load()
 	var chosen *Server
 	for _, s := range g.servers {
-		if s == old {
+		if s == oldPrimary {
 			continue
 		}
-		command(t, s, "fence(%d)", term)
-		if chosen == nil || ahead(s.Status(), chosen.Status()) {
+		callServerFunction(t, s, "fence(%d)", term)
+		if chosen == nil || logIsAhead(s.Status(), chosen.Status()) {
 			chosen = s
 		}
 	}
-	command(t, chosen, "promote(%d)", term)
+	callServerFunction(t, chosen, "promote(%d)", term)
 	g.primary.Store(chosen)
 	for _, s := range g.servers {
 		if s != chosen {
-			command(t, s, "follow(%d, '%s')", term, chosen.Address())
+			callServerFunction(t, s, "follow(%d, '%s')", term, chosen.Address())
 		}
 	}
 }
 
-// ahead compares the ends of two logs by the last term in their history.
-func ahead(a, b upstream.Status) bool {
+// logIsAhead reports whether a's log ends after b's, by the last term in its
+// history, then by offset.
+func logIsAhead(a, b upstream.Status) bool {
 	last := func(s upstream.Status) upstream.Position {
 		return upstream.Position{Term: s.History[len(s.History)-1].Term, Offset: s.Offset}
 	}
 	return last(b).Before(last(a))
 }
 
-// Guards against a confirmed row that a change of primary loses, and against
-// servers that differ afterwards.
-func TestConfirmedRowsSurviveChanges(t *testing.T) {
-	g := &changingGroup{servers: group(t, 2, Options{})}
+// Guards against a failover that loses confirmed rows, and against servers whose
+// logs differ after it.
+func TestConfirmedRowsSurviveFailover(t *testing.T) {
+	g := &failoverGroup{servers: startGroup(t, 2, Options{})}
 	g.primary.Store(g.servers[0])
 	run(t, dial(t, g.servers[0]), "CREATE TABLE v (id INTEGER PRIMARY KEY)")
 	ctx, cancel := context.WithCancel(t.Context())
@@ -119,15 +122,15 @@
 		writers.Go(func() { g.write(ctx) })
 	}
 	for term := 2; term < 12; term++ {
-		before := g.count()
-		eventually(t, "rows confirmed", func() bool { return g.count() > before+20 })
-		g.change(t, term)
+		before := g.confirmedCount()
+		eventually(t, "rows confirmed", func() bool { return g.confirmedCount() > before+20 })
+		g.failOver(t, term)
 	}
-	g.done.Store(true)
+	g.stopped.Store(true)
 	writers.Wait()
 	end := g.primary.Load().Status()
 	for _, s := range g.servers {
-		eventually(t, "in step", func() bool {
+		eventually(t, "server has the new primary's log", func() bool {
 			status := s.Status()
 			return status.Includes(end.Position()) && status.Offset == end.Offset
 		})
@@ -139,7 +142,7 @@
 	}
 }
 
-func (g *changingGroup) count() int {
+func (g *failoverGroup) confirmedCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.confirmed)
--- a/standin/pgx_test.go
+++ b/standin/pgx_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against values that change their type or content on the way, in the
-// binary and text formats of pgx's default and simple modes.
+// Guards against values whose type or content changes between client and
+// database, in the binary and text formats of pgx's query modes.
 func TestTypesRoundTrip(t *testing.T) {
 	conn := dial(t, start(t, Options{}))
 	run(t, conn, "CREATE TABLE v (id BIGINT PRIMARY KEY, name TEXT, score DOUBLE PRECISION, data BYTEA, ok BOOLEAN)")
@@ -31,7 +31,7 @@
 	}
 }
 
-// Guards against wrong guesses of parameter and column types.
+// Guards against wrongly inferred types of parameters and columns.
 func TestTypesOfExpressions(t *testing.T) {
 	conn := dial(t, start(t, Options{}))
 	run(t, conn, "CREATE TABLE v (id BIGINT PRIMARY KEY, n INTEGER)")
@@ -46,24 +46,25 @@
 	assert.Equal(t, value[float64](t, conn, "SELECT avg(n) FROM v WHERE id BETWEEN $1 AND $2", 1, 2), 17.5)
 }
 
-// Guards against wrong SQLSTATE codes, which the proxy decides by.
+// Guards against wrong SQLSTATE codes, by which the proxy makes decisions.
 func TestErrorCodes(t *testing.T) {
 	conn := dial(t, start(t, Options{}))
 	run(t, conn, "CREATE TABLE v (id INTEGER PRIMARY KEY, n TEXT NOT NULL)")
 	run(t, conn, "INSERT INTO v VALUES (1, 'a')")
-	expectCode(t, conn, "23505", "INSERT INTO v VALUES (1, 'b')")
-	expectCode(t, conn, "23502", "INSERT INTO v VALUES (2, NULL)")
-	expectCode(t, conn, "42P01", "SELECT * FROM missing")
-	expectCode(t, conn, "42601", "SELEC 1")
-	expectCode(t, conn, "42703", "SELECT missing FROM v")
+	expectSQLState(t, conn, "23505", "INSERT INTO v VALUES (1, 'b')")
+	expectSQLState(t, conn, "23502", "INSERT INTO v VALUES (2, NULL)")
+	expectSQLState(t, conn, "42P01", "SELECT * FROM missing")
+	expectSQLState(t, conn, "42601", "SELEC 1")
+	expectSQLState(t, conn, "42703", "SELECT missing FROM v")
 	run(t, conn, "SET default_transaction_read_only = on")
-	expectCode(t, conn, "25006", "INSERT INTO v VALUES (3, 'c')")
+	expectSQLState(t, conn, "25006", "INSERT INTO v VALUES (3, 'c')")
 	assert.Equal(t, value[string](t, conn, "SHOW default_transaction_read_only"), "on")
 	run(t, conn, "DISCARD ALL")
 	run(t, conn, "INSERT INTO v VALUES (3, 'c')")
 }
 
-// Guards against statements that take effect in a failed transaction.
+// Guards against wrong transaction states, and against statements that take effect
+// in a failed transaction.
 func TestTransactionStates(t *testing.T) {
 	server := start(t, Options{})
 	conn := dial(t, server)
@@ -71,22 +72,22 @@
 	run(t, conn, "BEGIN")
 	assert.Equal(t, conn.PgConn().TxStatus(), byte('T'))
 	run(t, conn, "INSERT INTO v VALUES (1)")
-	expectCode(t, conn, "23505", "INSERT INTO v VALUES (1)")
+	expectSQLState(t, conn, "23505", "INSERT INTO v VALUES (1)")
 	assert.Equal(t, conn.PgConn().TxStatus(), byte('E'))
-	expectCode(t, conn, "25P02", "SELECT 1")
+	expectSQLState(t, conn, "25P02", "SELECT 1")
 	assert.Equal(t, run(t, conn, "COMMIT").String(), "ROLLBACK")
 	assert.Equal(t, conn.PgConn().TxStatus(), byte('I'))
 	assert.Equal(t, value[int64](t, conn, "SELECT count(*) FROM v"), int64(0))
 	run(t, conn, "BEGIN; INSERT INTO v VALUES (1); SAVEPOINT s; INSERT INTO v VALUES (2)")
-	expectCode(t, conn, "23505", "INSERT INTO v VALUES (2)")
+	expectSQLState(t, conn, "23505", "INSERT INTO v VALUES (2)")
 	run(t, conn, "ROLLBACK TO SAVEPOINT s")
 	run(t, conn, "COMMIT")
 	assert.Equal(t, value[int64](t, conn, "SELECT count(*) FROM v"), int64(1))
 	assert.Equal(t, int(server.Status().Offset), 2)
 }
 
-// Guards against a lost update: a transaction that read before another
-// committed may not write.
+// Guards against a lost update: a transaction must not write if another one has
+// committed a write since its first read.
 func TestWriteConflict(t *testing.T) {
 	server := start(t, Options{})
 	a, b := dial(t, server), dial(t, server)
@@ -94,13 +95,13 @@
 	run(t, a, "BEGIN")
 	assert.Equal(t, value[int64](t, a, "SELECT n FROM v"), int64(1))
 	run(t, b, "UPDATE v SET n = 2")
-	expectCode(t, a, "40001", "UPDATE v SET n = n + 1")
+	expectSQLState(t, a, "40001", "UPDATE v SET n = n + 1")
 	run(t, a, "ROLLBACK")
 	assert.Equal(t, value[int64](t, b, "SELECT n FROM v"), int64(2))
 }
 
-// Guards against a cancelled statement that goes on, and against a cancel that
-// hits the next one.
+// Guards against a cancelled statement that goes on, and against a cancel request
+// that cancels the next statement.
 func TestCancel(t *testing.T) {
 	conn := dial(t, start(t, Options{Slots: 1}))
 	done := make(chan error, 1)
@@ -112,19 +113,20 @@
 		assert.NilError(t, conn.PgConn().CancelRequest(context.Background()))
 		select {
 		case err := <-done:
-			assert.Equal(t, code(err), "57014", "%v", err)
+			assert.Equal(t, sqlState(err), "57014", "%v", err)
 			assert.Equal(t, value[int64](t, conn, "SELECT 1"), int64(1))
 			return
 		case <-time.After(10 * time.Millisecond):
-			// The cancel came before the statement; it is repeated.
+			// The cancel request arrived before the statement; it is repeated.
 		}
 	}
 }
 
-// Guards against a server that accepts more than it announces.
+// Guards against a server that accepts more sessions than the limit that it
+// announces.
 func TestConnectionLimit(t *testing.T) {
 	server := start(t, Options{MaxConnections: 1})
 	dial(t, server)
 	_, err := pgx.Connect(context.Background(), "postgres://u@"+server.Address()+"/db")
-	assert.Equal(t, code(err), "53300")
+	assert.Equal(t, sqlState(err), "53300")
 }
--- a/standin/settings.go
+++ b/standin/settings.go
@@ -11,17 +11,19 @@
 
 const (
 	readOnlySetting = "default_transaction_read_only"
-	// restSetting is in milliseconds; 0 is no limit.
-	restSetting = "idle_in_transaction_session_timeout"
+	// idleInTransactionSetting has a value in milliseconds; 0 is no limit.
+	idleInTransactionSetting = "idle_in_transaction_session_timeout"
 )
 
-// reportedSettings are sent as ParameterStatus at the start and on change.
+// reportedSettings are sent to the client in ParameterStatus messages, when the
+// session starts and when they change.
 var reportedSettings = []string{
 	"application_name", "client_encoding", "DateStyle", readOnlySetting, "integer_datetimes",
 	"server_encoding", "server_version", "standard_conforming_strings", "TimeZone",
 }
 
-// known holds the default of each setting.
+// knownSettings holds the default value of each setting by lower-case name. Other
+// settings are accepted only if their name has a dot.
 var knownSettings = map[string]string{
 	"application_name":            "",
 	"client_encoding":             "UTF8",
@@ -35,12 +37,13 @@
 	"standard_conforming_strings": "on",
 	"statement_timeout":           "0",
 	"lock_timeout":                "0",
-	restSetting:                   "0",
+	idleInTransactionSetting:      "0",
 	"timezone":                    "UTC",
 	"transaction_isolation":       "serializable",
 }
 
-// settings are a session's settings, by lower-case name.
+// settings holds a session's settings by lower-case name: the current values and
+// those that the session started with, to which RESET returns.
 type settings struct {
 	initial map[string]string
 	values  map[string]string
@@ -50,14 +53,15 @@
 	initial := maps.Clone(knownSettings)
 	for name, value := range startupSettings(parameters) {
 		name = strings.ToLower(name)
-		if _, known := initial[name]; known || strings.Contains(name, ".") {
+		if _, exists := initial[name]; exists || strings.Contains(name, ".") {
 			initial[name] = value
 		}
 	}
 	return settings{initial: initial, values: maps.Clone(initial)}
 }
 
-// startupSettings merges start-up parameters and options=-c name=value.
+// startupSettings returns the parameters of the start-up message, with the
+// settings from its options parameter (-c name=value) added.
 func startupSettings(parameters map[string]string) map[string]string {
 	merged := map[string]string{}
 	for name, value := range parameters {
@@ -76,10 +80,10 @@
 
 func (s *settings) show(name string) string { return s.values[strings.ToLower(name)] }
 
-// rest is how long a transaction may rest between two statements; 0 for no
-// limit.
-func (s *settings) rest() time.Duration {
-	ms, err := strconv.Atoi(s.values[restSetting])
+// idleInTransactionTimeout returns how long an open transaction may wait for the
+// client's next message; 0 for no limit.
+func (s *settings) idleInTransactionTimeout() time.Duration {
+	ms, err := strconv.Atoi(s.values[idleInTransactionSetting])
 	if err != nil {
 		return 0
 	}
@@ -88,11 +92,11 @@
 
 func (s *settings) readOnly() bool { return s.values[readOnlySetting] == "on" }
 
-// set changes a setting; DEFAULT returns it to its initial value.
+// set changes a setting. The value DEFAULT returns it to its initial value.
 func (s *settings) set(name, value string) *pgError {
 	name = strings.ToLower(name)
-	_, known := s.values[name]
-	if !known && !strings.Contains(name, ".") {
+	_, exists := s.values[name]
+	if !exists && !strings.Contains(name, ".") {
 		return unknownSetting(name)
 	}
 	if strings.EqualFold(value, "default") {
@@ -120,7 +124,7 @@
 		words = words[1:]
 	}
 	if len(words) > 0 && words[0].is("TRANSACTION") {
-		s.setAccess(st)
+		s.setAccessMode(st)
 		return "SET", nil
 	}
 	if len(words) > 0 && words[0].is("CHARACTERISTICS") {
@@ -130,7 +134,7 @@
 	if !ok {
 		return "", &pgError{Code: "42601", Message: "syntax error in SET"}
 	}
-	return "SET", s.change(name, value)
+	return "SET", s.changeSetting(name, value)
 }
 
 func (s *session) setCharacteristics(st *statement) *pgError {
@@ -138,11 +142,11 @@
 	if st.word(len(st.tokens)-1) == "ONLY" {
 		value = "on"
 	}
-	return s.change(readOnlySetting, value)
+	return s.changeSetting(readOnlySetting, value)
 }
 
-// settingAssignment reads name TO value or name = value. A name may have
-// several parts.
+// settingAssignment parses name TO value, name = value or TIME ZONE value. A name
+// may have several parts, separated by dots.
 func settingAssignment(st *statement, words []token) (string, string, bool) {
 	for i, t := range words {
 		if i == 0 || i+1 == len(words) || !t.is("TO") && !t.is("=") {
@@ -170,8 +174,9 @@
 	return text
 }
 
-// change sets a setting and reports it if its value is reported.
-func (s *session) change(name, value string) *pgError {
+// changeSetting changes a setting of the session or of the server, and sends a
+// ParameterStatus if it is one of reportedSettings and its value differs.
+func (s *session) changeSetting(name, value string) *pgError {
 	if applied, failure := s.controlServer(name, value); applied {
 		return failure
 	}
@@ -181,12 +186,12 @@
 	}
 	after := s.settings.show(name)
 	if after != before {
-		s.report(name, after)
+		s.reportSetting(name, after)
 	}
 	return nil
 }
 
-func (s *session) report(name, value string) {
+func (s *session) reportSetting(name, value string) {
 	for _, reported := range reportedSettings {
 		if strings.EqualFold(reported, name) {
 			s.send(&pgproto3.ParameterStatus{Name: reported, Value: value})
@@ -200,7 +205,7 @@
 		s.resetSettings()
 		return "RESET", nil
 	}
-	return "RESET", s.change(st.word(1), "default")
+	return "RESET", s.changeSetting(st.word(1), "default")
 }
 
 func (s *session) resetSettings() {
@@ -212,7 +217,7 @@
 		}
 		if value != initial {
 			s.settings.values[name] = initial
-			s.report(name, initial)
+			s.reportSetting(name, initial)
 		}
 	}
 }
@@ -242,7 +247,8 @@
 	return value, ok
 }
 
-// settingName gives a setting's name in its usual spelling.
+// settingName returns a setting's name as PostgreSQL spells it: lower case, except
+// for some of reportedSettings.
 func settingName(name string) string {
 	for _, reported := range reportedSettings {
 		if strings.EqualFold(reported, name) {
--- a/standin/sqlrewrite.go
+++ b/standin/sqlrewrite.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// statement is one SQL statement, rewritten for SQLite.
+// statement is one SQL statement of a client, with its text rewritten for SQLite.
 type statement struct {
-	// sql is the text for SQLite: $1 has become ?1, and x::type a CAST.
+	// sql is the text for SQLite: $1 is replaced by ?1, and x::type by a CAST.
 	sql    string
 	source string
 	tokens []token
 	// keyword is the first word in upper case.
 	keyword string
-	// casts holds the type that a cast gives to a parameter, by number.
+	// casts holds the types of parameters that are cast, by parameter number.
 	casts      map[int]uint32
 	parameters int
 }
@@ -35,15 +35,15 @@
 		keyword: tokens[0].text,
 		casts:   map[int]uint32{},
 	}
-	s.noteCastFunctions()
+	s.recordCastFunctions()
 	r := rewriter{query: query, statement: s}
 	r.run()
 	s.sql = string(r.out)
 	return s
 }
 
-// noteCastFunctions records CAST($n AS type).
-func (s *statement) noteCastFunctions() {
+// recordCastFunctions records the types of parameters in CAST($n AS type).
+func (s *statement) recordCastFunctions() {
 	for i := 0; i+4 < len(s.tokens); i++ {
 		t := s.tokens[i : i+5]
 		if t[0].is("CAST") && t[1].is("(") && t[2].kind == tokenParameter && t[3].is("AS") {
@@ -57,15 +57,17 @@
 	return n
 }
 
-// rewriter writes a statement's tokens in SQLite's dialect. It remembers where
-// the operand before the current token starts, so that a cast can enclose it.
+// rewriter writes a statement's tokens in SQLite's dialect. To replace x::type by
+// CAST(x AS type), it keeps the start of the last operand in out (operandStart)
+// and, if the last token was a parameter, its number (operandParameter, else 0).
+// parenthesisStarts holds, for each open parenthesis, the start of its operand.
 type rewriter struct {
-	query     string
-	statement *statement
-	out       []byte
-	operand   int
-	isParam   int
-	open      []int
+	query             string
+	statement         *statement
+	out               []byte
+	operandStart      int
+	operandParameter  int
+	parenthesisStarts []int
 }
 
 func (r *rewriter) run() {
@@ -82,8 +84,8 @@
 	}
 }
 
-// dropRowLock removes a trailing FOR UPDATE or FOR SHARE, which SQLite does
-// not know and, having one writer, doesn't need.
+// dropRowLock removes a trailing FOR UPDATE or FOR SHARE. SQLite doesn't support
+// them, and doesn't need them, because it has only one writer at a time.
 func dropRowLock(tokens []token) []token {
 	n := len(tokens)
 	if n > 2 && tokens[n-2].is("FOR") && (tokens[n-1].is("UPDATE") || tokens[n-1].is("SHARE")) {
@@ -99,18 +101,18 @@
 	case t.is("("):
 		start := len(r.out)
 		if afterName {
-			start = r.operand
+			start = r.operandStart
 		}
-		r.open = append(r.open, start)
-	case t.is(")") && len(r.open) > 0:
-		r.operand = r.open[len(r.open)-1]
-		r.open = r.open[:len(r.open)-1]
+		r.parenthesisStarts = append(r.parenthesisStarts, start)
+	case t.is(")") && len(r.parenthesisStarts) > 0:
+		r.operandStart = r.parenthesisStarts[len(r.parenthesisStarts)-1]
+		r.parenthesisStarts = r.parenthesisStarts[:len(r.parenthesisStarts)-1]
 	case i > 0 && tokens[i-1].is(".") || t.is("."):
 		// A qualified name is one operand that starts at its first part.
 	default:
-		r.operand = len(r.out)
+		r.operandStart = len(r.out)
 	}
-	r.isParam = 0
+	r.operandParameter = 0
 	if t.kind == tokenParameter {
 		r.parameter(t)
 		return
@@ -120,34 +122,34 @@
 
 func (r *rewriter) parameter(t token) {
 	n := parameterNumber(t)
-	r.isParam = n
+	r.operandParameter = n
 	r.statement.parameters = max(r.statement.parameters, n)
 	r.out = append(r.out, '?')
 	r.out = append(r.out, t.text[1:]...)
 }
 
-// cast handles the type name at index i, after "::", and returns the index of
-// the last token that belongs to the type.
+// cast handles a cast whose type name is at index i, after "::". It returns the
+// index of the last token that belongs to the type.
 func (r *rewriter) cast(tokens []token, i int) int {
 	oid := oidOfTypeName(tokens[i].text)
-	if r.isParam > 0 {
-		r.statement.casts[r.isParam] = oid
+	if r.operandParameter > 0 {
+		r.statement.casts[r.operandParameter] = oid
 	} else {
-		operand := string(r.out[r.operand:])
-		r.out = append(r.out[:r.operand], "CAST("+operand+" AS "+sqliteType(oid)+")"...)
+		operand := string(r.out[r.operandStart:])
+		r.out = append(r.out[:r.operandStart], "CAST("+operand+" AS "+sqliteType(oid)+")"...)
 	}
 	last := i
 	if i+1 < len(tokens) && tokens[i].is("DOUBLE") && tokens[i+1].is("PRECISION") {
 		last = i + 1
 	}
 	for last+1 < len(tokens) && tokens[last+1].is("(") {
-		last = closing(tokens, last+1)
+		last = closingParenthesis(tokens, last+1)
 	}
 	return last
 }
 
-// closing returns the index of the parenthesis that closes the one at i.
-func closing(tokens []token, i int) int {
+// closingParenthesis returns the index of the parenthesis that closes the one at i.
+func closingParenthesis(tokens []token, i int) int {
 	depth := 0
 	for ; i < len(tokens); i++ {
 		if tokens[i].is("(") {
@@ -163,13 +165,14 @@
 	return len(tokens) - 1
 }
 
-// changesSchema reports whether the statement may change tables, so that
-// cached descriptions must go.
+// changesSchema reports whether the statement may change tables, so that cached
+// compiled statements are outdated.
 func (s *statement) changesSchema() bool {
 	return s.keyword == "CREATE" || s.keyword == "ALTER" || s.keyword == "DROP"
 }
 
-// returnsRows reports whether a writing statement has a RETURNING clause.
+// returnsRows reports whether a statement that writes returns rows, through a
+// RETURNING clause.
 func (s *statement) returnsRows() bool {
 	for _, t := range s.tokens {
 		if t.is("RETURNING") {
@@ -179,7 +182,7 @@
 	return false
 }
 
-// word returns the text of token i in upper case, or "".
+// word returns the text of token i in upper case, or "" if there is no token i.
 func (s *statement) word(i int) string {
 	if i >= len(s.tokens) {
 		return ""
--- a/standin/state.go
+++ b/standin/state.go
@@ -8,26 +8,27 @@
 	"lovageslip/upstream"
 )
 
-// unknownAge is reported while a replica has never been in step with its
-// primary.
+// unknownAge is the data age that a replica reports until it has applied all
+// entries of its primary for the first time.
 const unknownAge = 365 * 24 * time.Hour
 
-// entry is one committed transaction.
+// entry is one committed transaction in a server's log.
 type entry struct {
 	Term       upstream.Term
 	Statements []loggedStatement
 }
 
-// loggedStatement is a statement as SQLite ran it.
+// loggedStatement is a statement of an entry, with the text and arguments that
+// SQLite ran. Schema is true if it may change tables.
 type loggedStatement struct {
 	SQL    string
 	Args   []loggedValue
 	Schema bool
 }
 
-// state is a server's place in its group. Every change of it that must be
-// atomic with a commit or with the application of entries happens under
-// commit; a lock of both takes commit first.
+// state holds a server's role, term and log. A change that must be atomic with a
+// commit or with the application of entries is made with the mutex commit
+// locked. Whoever locks both mutexes locks commit first.
 type state struct {
 	// commit serializes commits, application of entries, fencing, promotion
 	// and following.
@@ -40,27 +41,30 @@
 	fenced  upstream.Term
 	history upstream.History
 	log     []entry
-	// primary is the address that a replica follows; empty if it must not
-	// follow anyone.
+	// primary is the address of the primary that a replica follows; empty if
+	// it must not follow any server.
 	primary string
-	// link changes whenever replication must start anew.
-	link uint64
-	// fresh is the send time of the last pull whose answer is fully applied.
-	fresh time.Time
-	// contact is the time of the last answer of the primary.
-	contact time.Time
-	// changed is closed and replaced at each change.
+	// linkNumber is incremented when a replication link must end. Entries that
+	// were pulled under an earlier number are not applied.
+	linkNumber uint64
+	// upToDateAt is the time at which the last pull was sent whose answer held
+	// all further entries of the primary and has been applied. Zero if there
+	// was none.
+	upToDateAt time.Time
+	// lastContact is the time of the primary's last answer.
+	lastContact time.Time
+	// changed is closed and replaced at each change that notify announces.
 	changed chan struct{}
 }
 
 func newState(term upstream.Term) *state {
 	return &state{
-		role:    upstream.RolePrimary,
-		term:    term,
-		fenced:  term,
-		history: upstream.History{{Term: term}},
-		changed: make(chan struct{}),
-		contact: time.Now(),
+		role:        upstream.RolePrimary,
+		term:        term,
+		fenced:      term,
+		history:     upstream.History{{Term: term}},
+		changed:     make(chan struct{}),
+		lastContact: time.Now(),
 	}
 }
 
@@ -72,18 +76,18 @@
 	s.notify()
 }
 
-// restarted forgets what a new process can't know: when it last heard from
-// its primary.
-func (s *state) restarted() {
+// resetAfterRestart clears what a server doesn't know after a restart: when it was
+// up to date and when its primary last answered.
+func (s *state) resetAfterRestart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fresh = time.Time{}
-	s.contact = time.Now()
-	s.link++
+	s.upToDateAt = time.Time{}
+	s.lastContact = time.Now()
+	s.linkNumber++
 	s.notify()
 }
 
-// notify wakes all that wait for a change. The caller holds mu.
+// notify wakes all goroutines that wait for a change. The caller holds mu.
 func (s *state) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -106,10 +110,10 @@
 	if s.role == upstream.RolePrimary {
 		return status
 	}
-	status.PrimaryContactAge = now.Sub(s.contact)
+	status.PrimaryContactAge = now.Sub(s.lastContact)
 	status.DataAge = unknownAge
-	if !s.fresh.IsZero() {
-		status.DataAge = now.Sub(s.fresh)
+	if !s.upToDateAt.IsZero() {
+		status.DataAge = now.Sub(s.upToDateAt)
 	}
 	return status
 }
@@ -121,8 +125,8 @@
 	return s.statusLocked(time.Now()), s.changed
 }
 
-// mayWrite reports whether the server leads its term and has promised to no
-// higher one.
+// mayWrite returns the server's term, and whether the server is the primary of
+// that term and isn't fenced at a higher one.
 func (s *state) mayWrite() (upstream.Term, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -133,13 +137,14 @@
 	return s.role == upstream.RolePrimary && s.fenced <= s.term
 }
 
-// commitEntry runs commit and appends its statements to the log, unless the
-// term in which the transaction wrote has ended; then it refuses.
+// commitEntry runs commit and appends the transaction's statements to the log. It
+// fails with a read-only error if the server is no longer the primary of the
+// term in which the transaction wrote.
 func (s *state) commitEntry(term upstream.Term, statements []loggedStatement, commit func() error) error {
 	s.commit.Lock()
 	defer s.commit.Unlock()
-	current, ok := s.mayWrite()
-	if !ok || current != term {
+	currentTerm, ok := s.mayWrite()
+	if !ok || currentTerm != term {
 		return readOnlyError("COMMIT")
 	}
 	if err := commit(); err != nil {
@@ -156,8 +161,9 @@
 	return &pgError{Code: codeTermTooLow, Message: message}
 }
 
-// fence promises to accept nothing below term. A link of a lower term ends at
-// once, and nothing that it fetched is applied any more.
+// fence makes the server refuse everything from terms below term. A replication
+// link of a lower term ends, and entries that it has pulled but not applied are
+// discarded.
 func (s *state) fence(term upstream.Term) *pgError {
 	s.commit.Lock()
 	defer s.commit.Unlock()
@@ -179,7 +185,7 @@
 
 func (s *state) stopFollowingLocked() {
 	s.primary = ""
-	s.link++
+	s.linkNumber++
 }
 
 // promote makes the server the primary of term.
@@ -217,14 +223,14 @@
 		return nil
 	}
 	if s.role == upstream.RolePrimary {
-		s.fresh = time.Time{}
+		s.upToDateAt = time.Time{}
 	}
 	s.stopFollowingLocked()
 	s.role = upstream.RoleReplica
 	s.term = term
 	s.fenced = term
 	s.primary = address
-	s.contact = time.Now()
+	s.lastContact = time.Now()
 	s.notify()
 	return nil
 }
@@ -233,6 +239,6 @@
 func (s *state) dropLink() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.link++
+	s.linkNumber++
 	s.notify()
 }
--- a/standin/store.go
+++ b/standin/store.go
@@ -11,22 +11,22 @@
 	"lovageslip/fault"
 )
 
-// store is the server's SQLite database. When a forked tail of the log is
-// discarded, a new file of the next generation replaces the old one.
+// store is the server's SQLite database. When entries at the end of the log are
+// discarded, a new file replaces the old one, with a generation one higher.
 type store struct {
 	dir string
 
 	// mu guards the fields below.
-	mu         sync.RWMutex
-	generation int
-	schema     uint64
+	mu            sync.RWMutex
+	generation    int
+	schemaVersion uint64
 }
 
 func (s *store) path(generation int) string {
 	return filepath.Join(s.dir, fmt.Sprintf("data-%d.sqlite", generation))
 }
 
-// create makes an empty database file of the current generation.
+// create creates an empty database file of the current generation.
 func (s *store) create() error {
 	db, _, err := s.open()
 	if err != nil {
@@ -35,34 +35,36 @@
 	return db.Close()
 }
 
-// current returns the generation and the version of the schema.
-func (s *store) current() (int, uint64) {
+// versions returns the generation and the schema version.
+func (s *store) versions() (int, uint64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.generation, s.schema
+	return s.generation, s.schemaVersion
 }
 
-func (s *store) schemaChanged() {
+func (s *store) incrementSchemaVersion() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.schema++
+	s.schemaVersion++
 }
 
-func (s *store) advance(generation int) {
+func (s *store) setGeneration(generation int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.generation = generation
-	s.schema++
+	s.schemaVersion++
 }
 
-// open opens a connection to the current generation, which it returns too.
+// open opens a connection to the database file of the current generation, and
+// returns the generation too.
 func (s *store) open() (*sqlite3.SQLiteConn, int, error) {
-	generation, _ := s.current()
+	generation, _ := s.versions()
 	db, err := s.openGeneration(generation)
 	return db, generation, err
 }
 
-// Durability is not under test, so nothing is synced.
+// sqliteSettings turn off SQLite's syncing to disk (_synchronous=OFF), because the
+// stand-in isn't used to test durability.
 const sqliteSettings = "?_journal_mode=WAL&_synchronous=OFF&_busy_timeout=5000&_stmt_cache_size=64"
 
 func (s *store) openGeneration(generation int) (*sqlite3.SQLiteConn, error) {
@@ -102,10 +104,10 @@
 	return nil
 }
 
-// rebuild creates the next generation from a prefix of the log. The caller
-// holds the state's commit lock.
+// rebuild creates the next generation of the database from a prefix of the log.
+// The caller holds the state's commit mutex.
 func (s *store) rebuild(entries []entry) error {
-	generation, _ := s.current()
+	generation, _ := s.versions()
 	db, err := s.openGeneration(generation + 1)
 	if err != nil {
 		return err
@@ -114,7 +116,7 @@
 	if err := applyEntries(db, entries); err != nil {
 		return &fault.IO{Op: "rebuild database", Err: err}
 	}
-	s.advance(generation + 1)
+	s.setGeneration(generation + 1)
 	return nil
 }
 
@@ -128,7 +130,8 @@
 	kindBlob
 )
 
-// loggedValue is an argument in a form that encoding/gob can carry.
+// loggedValue is an argument of a statement in a form that encoding/gob can
+// encode.
 type loggedValue struct {
 	Kind  valueKind
 	Int   int64
@@ -137,7 +140,7 @@
 	Blob  []byte
 }
 
-func logValue(v any) loggedValue {
+func toLoggedValue(v any) loggedValue {
 	switch v := v.(type) {
 	case int64:
 		return loggedValue{Kind: kindInt, Int: v}
--- a/standin/transaction.go
+++ b/standin/transaction.go
@@ -6,25 +6,29 @@
 	"lovageslip/upstream"
 )
 
-// transaction is the state of a session's transaction. The zero value is no
-// transaction.
+// transaction is the state of a session's transaction. The zero value means that
+// the session has none.
 type transaction struct {
 	// explicit is true after BEGIN.
 	explicit bool
 	failed   bool
 	readOnly bool
-	// began is true if SQLite has a transaction open.
-	began bool
-	// writer is true while the session holds the server's write lock.
-	writer     bool
-	term       upstream.Term
+	// openInSQLite is true if SQLite has a transaction open.
+	openInSQLite bool
+	// holdsWriteLock is true while the session holds the server's write lock.
+	holdsWriteLock bool
+	// term is the server's term at the transaction's writes.
+	term upstream.Term
+	// statements are the writes to log at commit.
 	statements []loggedStatement
 	savepoints []savepoint
 }
 
 type savepoint struct {
-	name       string
-	statements int
+	name string
+	// statementCount is how many statements the transaction had when the
+	// savepoint was made.
+	statementCount int
 }
 
 func (t *transaction) status() byte {
@@ -44,21 +48,22 @@
 	return s.settings.readOnly()
 }
 
-// beginInDatabase opens SQLite's transaction. It is called late, so that a
-// transaction that does nothing costs nothing.
-func (s *session) beginInDatabase() *pgError {
-	if s.tx.began {
+// beginInSQLite opens SQLite's transaction if it isn't open. It is called at the
+// first statement that needs it, so that an empty transaction costs nothing.
+func (s *session) beginInSQLite() *pgError {
+	if s.tx.openInSQLite {
 		return nil
 	}
 	if _, err := s.db.Exec("BEGIN", nil); err != nil {
 		return databaseError(err)
 	}
-	s.tx.began = true
-	s.inDatabase.Store(true)
+	s.tx.openInSQLite = true
+	s.hasSQLiteTransaction.Store(true)
 	return nil
 }
 
-// checkWrite refuses a write that the session or the server may not do.
+// checkWrite returns a read-only error if the session is read-only or the server
+// may not write.
 func (s *session) checkWrite(keyword string) *pgError {
 	if s.readOnly() {
 		return readOnlyError(keyword)
@@ -69,14 +74,15 @@
 	return nil
 }
 
-// beginWrite opens SQLite's transaction for a write. The session holds the
-// server's write lock, so that SQLite never has to wait for its own.
+// beginWrite opens SQLite's transaction for a write. The session already holds the
+// server's write lock, so that it never waits for SQLite's lock.
 func (s *session) beginWrite(keyword string) *pgError {
-	if failure := s.beginInDatabase(); failure != nil {
+	if failure := s.beginInSQLite(); failure != nil {
 		return failure
 	}
-	// Checked again after the transaction is visible to closeTransactions,
-	// so that a server that lost its role in between holds no lock.
+	// The server may have lost its role since checkWrite. The role is checked
+	// again now that closeTransactions sees the transaction, so that none
+	// keeps SQLite's lock on a server that has become a replica.
 	term, ok := s.server.state.mayWrite()
 	if !ok || len(s.tx.statements) > 0 && s.tx.term != term {
 		return readOnlyError(keyword)
@@ -85,9 +91,10 @@
 	return nil
 }
 
-// commit ends SQLite's transaction and logs what it wrote.
+// commit commits SQLite's transaction and appends what it wrote to the log. It
+// rolls back on an error.
 func (s *session) commit() *pgError {
-	if !s.tx.began {
+	if !s.tx.openInSQLite {
 		return nil
 	}
 	commit := func() error {
@@ -104,15 +111,15 @@
 		s.rollback()
 		return databaseError(err)
 	}
-	s.noteSchemaChange()
-	s.leaveDatabase()
+	s.recordSchemaChange()
+	s.clearSQLiteTransaction()
 	return nil
 }
 
-func (s *session) noteSchemaChange() {
+func (s *session) recordSchemaChange() {
 	for _, logged := range s.tx.statements {
 		if logged.Schema {
-			s.server.store.schemaChanged()
+			s.server.store.incrementSchemaVersion()
 			return
 		}
 	}
@@ -120,27 +127,28 @@
 
 // rollback undoes SQLite's transaction and releases the write lock.
 func (s *session) rollback() {
-	if s.tx.began {
+	if s.tx.openInSQLite {
 		if _, err := s.db.Exec("ROLLBACK", nil); err != nil {
 			s.server.log.Debug("rollback failed", "error", err)
 		}
 	}
-	s.leaveDatabase()
+	s.clearSQLiteTransaction()
 }
 
-func (s *session) leaveDatabase() {
-	s.tx.began = false
-	s.inDatabase.Store(false)
-	if s.tx.writer {
-		s.tx.writer = false
-		s.server.writer.release()
+func (s *session) clearSQLiteTransaction() {
+	s.tx.openInSQLite = false
+	s.hasSQLiteTransaction.Store(false)
+	if s.tx.holdsWriteLock {
+		s.tx.holdsWriteLock = false
+		s.server.writeLock.release()
 	}
 	s.tx.statements = nil
 	s.tx.savepoints = nil
 }
 
-// abort is called after an error. A transaction without savepoints gives up
-// its locks at once.
+// abort marks an explicit transaction as failed after an error. It rolls back at
+// once, which releases the locks, unless the client can still return to a
+// savepoint.
 func (s *session) abort() {
 	if s.tx.explicit {
 		s.tx.failed = true
@@ -151,9 +159,9 @@
 	s.rollback()
 }
 
-// endImplicit commits what a Query or the messages up to a Sync wrote outside
-// of an explicit transaction.
-func (s *session) endImplicit() *pgError {
+// commitImplicit commits what a Query, or a sequence of messages up to a Sync,
+// wrote outside of an explicit transaction.
+func (s *session) commitImplicit() *pgError {
 	if s.tx.explicit {
 		return nil
 	}
@@ -162,8 +170,9 @@
 	return failure
 }
 
-// control runs transaction statements. It returns false for other statements.
-func (s *session) control(st *statement) (string, *pgError, bool) {
+// executeTransactionStatement runs a statement that begins or ends a transaction
+// or rolls back to a savepoint. It returns false for other statements.
+func (s *session) executeTransactionStatement(st *statement) (string, *pgError, bool) {
 	switch st.keyword {
 	case "BEGIN", "START":
 		tag, failure := s.begin(st)
@@ -193,15 +202,16 @@
 	}
 	s.tx.explicit = true
 	s.tx.readOnly = s.settings.readOnly()
-	s.setAccess(st)
+	s.setAccessMode(st)
 	if st.keyword == "START" {
 		return "START TRANSACTION", nil
 	}
 	return "BEGIN", nil
 }
 
-// setAccess applies READ ONLY or READ WRITE, wherever a statement has it.
-func (s *session) setAccess(st *statement) {
+// setAccessMode applies READ ONLY or READ WRITE, which may stand anywhere in the
+// statement.
+func (s *session) setAccessMode(st *statement) {
 	for i := range st.tokens {
 		if st.word(i) != "READ" {
 			continue
@@ -250,40 +260,40 @@
 	if failure := s.openDatabase(); failure != nil {
 		return "", failure
 	}
-	if failure := s.beginInDatabase(); failure != nil {
+	if failure := s.beginInSQLite(); failure != nil {
 		return "", failure
 	}
 	name := st.word(1)
 	if _, err := s.db.Exec("SAVEPOINT "+quoteName(name), nil); err != nil {
 		return "", databaseError(err)
 	}
-	s.tx.savepoints = append(s.tx.savepoints, savepoint{name: name, statements: len(s.tx.statements)})
+	s.tx.savepoints = append(s.tx.savepoints, savepoint{name: name, statementCount: len(s.tx.statements)})
 	return "SAVEPOINT", nil
 }
 
 func (s *session) releaseSavepoint(st *statement) (string, *pgError) {
 	name := st.word(len(st.tokens) - 1)
-	at := s.findSavepoint(name)
-	if at < 0 {
-		return "", noSavepoint(name)
+	index := s.findSavepoint(name)
+	if index < 0 {
+		return "", unknownSavepoint(name)
 	}
 	if _, err := s.db.Exec("RELEASE "+quoteName(name), nil); err != nil {
 		return "", databaseError(err)
 	}
-	s.tx.savepoints = s.tx.savepoints[:at]
+	s.tx.savepoints = s.tx.savepoints[:index]
 	return "RELEASE", nil
 }
 
 func (s *session) rollbackTo(name string) (string, *pgError) {
-	at := s.findSavepoint(name)
-	if at < 0 {
-		return "", noSavepoint(name)
+	index := s.findSavepoint(name)
+	if index < 0 {
+		return "", unknownSavepoint(name)
 	}
 	if _, err := s.db.Exec("ROLLBACK TO "+quoteName(name), nil); err != nil {
 		return "", databaseError(err)
 	}
-	s.tx.statements = s.tx.statements[:s.tx.savepoints[at].statements]
-	s.tx.savepoints = s.tx.savepoints[:at+1]
+	s.tx.statements = s.tx.statements[:s.tx.savepoints[index].statementCount]
+	s.tx.savepoints = s.tx.savepoints[:index+1]
 	s.tx.failed = false
 	return "ROLLBACK", nil
 }
@@ -297,7 +307,7 @@
 	return -1
 }
 
-func noSavepoint(name string) *pgError {
+func unknownSavepoint(name string) *pgError {
 	return &pgError{Code: "3B001", Message: "savepoint " + name + " does not exist"}
 }
 
