--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,5 @@
-// Package pause waits for a time or the end of a context.
+// Package pause provides a sleep that ends early with a context. Background loops
+// call it between rounds, and retries before the next attempt.
 package pause
 
 import (
@@ -6,7 +7,7 @@
 	"time"
 )
 
-// For waits for d and reports false if ctx ends first.
+// For sleeps for d and returns true, or returns false as soon as ctx ends.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/testcert/testcert.go
+++ b/internal/testcert/testcert.go
@@ -1,5 +1,5 @@
-// Package testcert makes certificate authorities and certificates for tests.
-// Only tests import it.
+// Package testcert creates certificate authorities and certificates for tests of
+// TLS connections. Only tests import it.
 package testcert
 
 import (
@@ -23,9 +23,9 @@
 
 const validity = time.Hour
 
-// Authority signs certificates.
+// Authority is a certificate authority for one test.
 type Authority struct {
-	// File holds the authority's certificate, PEM.
+	// File is the path of the authority's certificate in PEM.
 	File string
 
 	dir         string
@@ -33,7 +33,8 @@
 	key         *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority. Its files are deleted after the test.
+// NewAuthority creates an authority with a new key. Its files and those of the
+// certificates that it issues are deleted after the test.
 func NewAuthority(t testing.TB, name string) *Authority {
 	t.Helper()
 	template := newTemplate(name)
@@ -50,7 +51,8 @@
 	return a
 }
 
-// Issue makes a certificate for 127.0.0.1, for both sides of a connection.
+// Issue creates a certificate for 127.0.0.1, valid for client and server
+// authentication, and returns the paths of its files.
 func (a *Authority) Issue(t testing.TB, name string) settings.TLS {
 	t.Helper()
 	template := newTemplate(name)
--- a/loadgen/loadgen.go
+++ b/loadgen/loadgen.go
@@ -1,7 +1,7 @@
-// Package loadgen is an open-loop load tool: requests start by a schedule of
-// their own, whether or not earlier ones have been answered, and latency counts
-// from the scheduled start. A server that stalls therefore can't hide the
-// requests that it kept from starting.
+// Package loadgen generates open-loop load for the command "lovageslip load"
+// and for benchmarks: each request is due at a scheduled time, whether or not
+// earlier ones have been answered, and its latency counts from that time. The
+// results therefore include the wait of requests that a stalled server delayed.
 package loadgen
 
 import (
@@ -24,31 +24,33 @@
 const (
 	defaultSessions = 64
 	defaultTimeout  = 10 * time.Second
-	// queueLength is how many requests of a class may wait for a session.
+	// queueLength is how many requests of a class may wait for a session; more
+	// are counted as dropped.
 	queueLength = 1 << 20
 )
 
-// Options describes a run.
+// Options configures a run of the load generator, see Run.
 type Options struct {
 	Log     *slog.Logger
 	Metrics tally.Scope
-	// Targets are addresses of proxies or servers; sessions are spread over
-	// them.
+	// Targets are the addresses of proxies or database servers; the sessions
+	// of each class are spread evenly over them.
 	Targets  []string
 	Database string
 	User     string
 	Profile  Profile
 	// Sessions is the number of connections for each class; 64 if zero. All
-	// work of a class shares them, so that reads follow writes of their own
-	// session.
+	// work of a class shares them, so that reads are also sent on sessions that
+	// have written.
 	Sessions int
-	// Seed fixes the schedule.
+	// Seed makes the schedule reproducible: it depends only on the profile and
+	// the seed.
 	Seed uint64
-	// Timeout ends a request that has no answer, counted from when it was
-	// sent; 10 s if zero.
+	// Timeout ends a request that has no answer, counted from when a session
+	// took it from the queue; 10 s if zero.
 	Timeout time.Duration
-	// Extended uses the extended protocol with a parameter, instead of the
-	// simple protocol.
+	// Extended sends statements by PostgreSQL's extended query protocol, with
+	// the row number as a parameter, instead of the simple query protocol.
 	Extended bool
 	// Hook runs once at HookAt after the start, for example to stop the
 	// primary.
@@ -56,21 +58,23 @@
 	Hook   func(context.Context)
 }
 
-// run is a run in progress.
+// run is the state of one call of Run.
 type run struct {
-	options Options
-	log     *slog.Logger
-	metrics tally.Scope
-	start   time.Time
-	texts   []text
-	records []*recorder
-	// queues holds the requests that wait for a session, by class.
+	options   Options
+	log       *slog.Logger
+	metrics   tally.Scope
+	start     time.Time
+	templates []sqlTemplate
+	recorders []*recorder
+	// queues holds the requests that wait for a session, by class. The sessions
+	// of a class share its queue.
 	queues map[string]chan arrival
 }
 
-// Run opens the sessions, plays the profile and returns the results. A context
-// that ends early ends the schedule; requests under way are finished.
-// Errors: *fault.Invalid, *fault.IO if no session can be opened.
+// Run opens the sessions, sends the requests of the profile and returns the
+// results. If ctx ends early, no further requests are scheduled; those already
+// queued or sent are finished.
+// Errors: *fault.Invalid, *fault.IO if a session can't be opened.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	if err := options.complete(); err != nil {
 		return nil, err
@@ -86,7 +90,7 @@
 		tasks.Go(s.serve)
 	}
 	stopHook := r.armHook(ctx)
-	r.play(ctx)
+	r.dispatch(ctx)
 	for _, queue := range r.queues {
 		close(queue)
 	}
@@ -95,6 +99,7 @@
 	return r.result(), nil
 }
 
+// complete checks the options and fills in the defaults.
 func (o *Options) complete() error {
 	if len(o.Targets) == 0 {
 		return &fault.Invalid{Field: "targets", Allowed: "at least one address"}
@@ -125,13 +130,14 @@
 		if r.queues[work.Class] == nil {
 			r.queues[work.Class] = make(chan arrival, queueLength)
 		}
-		r.texts = append(r.texts, newText(work))
-		r.records = append(r.records, newRecorder(work, options.Profile.Duration))
+		r.templates = append(r.templates, newTemplate(work))
+		r.recorders = append(r.recorders, newRecorder(work, options.Profile.Duration))
 	}
 	return r
 }
 
-// armHook runs the hook at its time, or not at all if the run ends before.
+// armHook starts the timer of Options.Hook. The returned function stops it, or
+// waits until the hook returns if it is running.
 func (r *run) armHook(ctx context.Context) func() {
 	if r.options.Hook == nil {
 		return func() {}
@@ -153,31 +159,35 @@
 	}
 }
 
-// play hands out the requests when they are due.
-func (r *run) play(ctx context.Context) {
+// dispatch puts each request into the queue of its class when it is due, until
+// the schedule or ctx ends.
+func (r *run) dispatch(ctx context.Context) {
 	plan := newSchedule(r.options.Profile, r.options.Seed)
 	for {
 		next, ok := plan.next()
-		if !ok || !r.sleepUntil(ctx, next.at) {
+		if !ok || !r.sleepUntil(ctx, next.due) {
 			return
 		}
 		select {
 		case r.queues[r.options.Profile.Work[next.work].Class] <- next:
 		default:
-			r.records[next.work].dropped(next.at)
+			r.recorders[next.work].recordDropped(next.due)
 		}
 	}
 }
 
-func (r *run) sleepUntil(ctx context.Context, at time.Duration) bool {
-	wait := time.Until(r.start.Add(at))
+// sleepUntil waits until due after the start of the run and reports false if ctx
+// ends first.
+func (r *run) sleepUntil(ctx context.Context, due time.Duration) bool {
+	wait := time.Until(r.start.Add(due))
 	if wait <= 0 {
 		return ctx.Err() == nil
 	}
 	return pause.For(ctx, wait)
 }
 
-// Setup creates the table that the profiles use and fills it.
+// Setup creates the table that the profiles use, unless it exists, and fills it
+// with Rows rows. It connects to address without TLS.
 // Errors: *fault.IO.
 func Setup(ctx context.Context, address, database string) error {
 	conn, err := pgconn.Connect(ctx, "postgres://load@"+address+"/"+database+"?sslmode=disable")
--- a/loadgen/loadgen_test.go
+++ b/loadgen/loadgen_test.go
@@ -22,8 +22,8 @@
 	return server
 }
 
-// Guards against a schedule that differs between runs of one seed, or whose
-// rate isn't the profile's.
+// Guards against a schedule that differs between runs with the same seed, or
+// whose rate or mix of work differs from the profile's.
 func TestScheduleFollowsProfile(t *testing.T) {
 	profile := Tahimik(1000, 20*time.Second).WithPeak(5*time.Second, 5*time.Second, 10)
 	first, second := newSchedule(profile, 7), newSchedule(profile, 7)
@@ -35,7 +35,7 @@
 		if !ok {
 			break
 		}
-		if a.at >= 5*time.Second && a.at < 10*time.Second {
+		if a.due >= 5*time.Second && a.due < 10*time.Second {
 			inPeak++
 		} else {
 			outside++
@@ -52,7 +52,8 @@
 	near(writes, 6500)
 }
 
-// Guards against requests that are lost from the counts, with either protocol.
+// Guards against requests that are missing from the results, with the simple or
+// the extended query protocol.
 func TestRunCountsEveryRequest(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	for _, extended := range []bool{false, true} {
@@ -73,8 +74,8 @@
 	}
 }
 
-// Guards against coordinated omission: requests that a stalled server kept from
-// starting must show the time that they waited.
+// Guards against coordinated omission: the latency of requests that could not
+// start because the server stalled must include their wait.
 func TestStallShowsInLatency(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	const stall = 300 * time.Millisecond
@@ -96,9 +97,9 @@
 	assert.Assert(t, read.Share < 0.9, "%v", read.Share)
 }
 
-// Guards against failures that are counted as successes, and against sessions
-// that don't come back.
-func TestServerIsLostAndReturns(t *testing.T) {
+// Guards against failed requests that are counted as successes, and against
+// sessions that don't reconnect after a restart of the server.
+func TestSessionsReconnectAfterServerLoss(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	profile := Tahimik(500, time.Second)
 	result, err := Run(t.Context(), Options{
--- a/loadgen/report.go
+++ b/loadgen/report.go
@@ -14,7 +14,8 @@
 
 const barWidth = 40
 
-// WriteTable writes the results as text: a line for each kind of work.
+// WriteTable writes a table with one row for each kind of work, and below it the
+// number of requests by outcome.
 // Errors: *fault.IO.
 func (r *Result) WriteTable(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -24,8 +25,8 @@
 		l := work.Latency
 		fmt.Fprintf(table, "%s\t%d\t%d\t%.1f %%\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\n",
 			work.Name, work.Sent, work.OK, 100*work.Share,
-			short(l.P50), short(l.P90), short(l.P99), short(l.P999), short(l.Max),
-			short(work.LongestGap), short(work.GapAt))
+			formatDuration(l.P50), formatDuration(l.P90), formatDuration(l.P99), formatDuration(l.P999), formatDuration(l.Max),
+			formatDuration(work.LongestGap), formatDuration(work.GapStart))
 	}
 	if err := table.Flush(); err != nil {
 		return &fault.IO{Op: "write table", Err: err}
@@ -46,9 +47,9 @@
 	return nil
 }
 
-// WriteChart draws the seconds of each kind of work as bars: '#' for requests
-// that succeeded inside their wait, '+' for those that succeeded late, '.' for
-// those that failed.
+// WriteChart draws a bar chart for each kind of work, one bar a second: '#' for
+// requests that succeeded within their target, '+' for those that succeeded late,
+// '.' for those that failed.
 // Errors: *fault.IO.
 func (r *Result) WriteChart(w io.Writer) error {
 	for _, work := range r.Work {
@@ -63,16 +64,16 @@
 }
 
 func (r *WorkResult) writeBars(w io.Writer) error {
-	most := int64(1)
+	mostSent := int64(1)
 	for _, second := range r.Seconds {
-		most = max(most, second.Sent)
+		mostSent = max(mostSent, second.Sent)
 	}
 	for i, second := range r.Seconds {
 		if second.Sent == 0 {
 			continue
 		}
 		_, err := fmt.Fprintf(w, "%4d s %6d %-*s %8s %8s\n",
-			i, second.Sent, barWidth, second.bar(most), short(second.P50), short(second.P99))
+			i, second.Sent, barWidth, second.bar(mostSent), formatDuration(second.P50), formatDuration(second.P99))
 		if err != nil {
 			return &fault.IO{Op: "write chart", Err: err}
 		}
@@ -80,16 +81,19 @@
 	return nil
 }
 
-func (s Second) bar(most int64) string {
-	scale := func(n int64) int { return int((n*barWidth + most - 1) / most) }
-	inside := scale(s.Inside)
+// bar returns the bar of a second. A second with mostSent requests gets barWidth
+// characters, others proportionally fewer.
+func (s Second) bar(mostSent int64) string {
+	scale := func(n int64) int { return int((n*barWidth + mostSent - 1) / mostSent) }
+	inside := scale(s.WithinTarget)
 	ok := max(scale(s.OK), inside)
 	sent := max(scale(s.Sent), ok)
 	return strings.Repeat("#", inside) + strings.Repeat("+", ok-inside) + strings.Repeat(".", sent-ok)
 }
 
-// short prints a duration with three digits.
-func short(d time.Duration) string {
+// formatDuration formats a duration in seconds or milliseconds with about three
+// significant digits.
+func formatDuration(d time.Duration) string {
 	switch {
 	case d >= 10*time.Second:
 		return fmt.Sprintf("%.1fs", d.Seconds())
--- a/loadgen/result.go
+++ b/loadgen/result.go
@@ -10,11 +10,12 @@
 const (
 	minLatencyMicros = 1
 	maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
-	latencyDigits    = 3
-	secondDigits     = 2
+	// Significant decimal digits of the histograms of a run and of one second.
+	runLatencyDigits    = 3
+	secondLatencyDigits = 2
 )
 
-// Result is the outcome of a run.
+// Result holds the results of a run.
 type Result struct {
 	Profile string
 	Seed    uint64
@@ -23,7 +24,7 @@
 	Work    []WorkResult
 }
 
-// WorkResult is the outcome of one kind of work.
+// WorkResult holds the results of one kind of work.
 type WorkResult struct {
 	Name  string
 	Write bool
@@ -31,69 +32,73 @@
 	// Sent counts the scheduled requests.
 	Sent int64
 	OK   int64
-	// Outcomes counts requests by "ok", SQLSTATE, or the way the connection
-	// failed.
+	// Outcomes counts requests by outcome: "ok", the SQLSTATE of an error, or
+	// "timeout", "disconnected", "no_connection" or "dropped".
 	Outcomes map[string]int64
-	// Inside counts the requests that succeeded within their wait and service
-	// time, and Share is their part of all that were scheduled.
-	Inside int64
-	Share  float64
-	// Latency of successful requests, counted from the scheduled start.
+	// WithinTarget counts the successful requests whose latency was at most
+	// the Wait plus the Service of their work. Share is their fraction of all
+	// scheduled requests, 0 to 1 (column "inside" of the table).
+	WithinTarget int64
+	Share        float64
+	// Latency is that of successful requests, counted from their scheduled
+	// start.
 	Latency Percentiles
-	// Response is the same, counted from when the request was sent.
+	// Response is the time from the sending of a successful request until its
+	// answer.
 	Response Percentiles
-	// LongestGap is the longest time without a successful answer, and GapAt
-	// its start.
+	// LongestGap is the longest time without a successful answer, and GapStart
+	// is when it began, counted from the start of the run.
 	LongestGap time.Duration
-	GapAt      time.Duration
+	GapStart   time.Duration
 	Seconds    []Second
 }
 
-// Second is one second of the schedule.
+// Second holds the results of the requests that were due in one second of the
+// schedule. P50, P99 and Max are of the latency of successful requests.
 type Second struct {
-	Sent   int64
-	OK     int64
-	Inside int64
-	P50    time.Duration
-	P99    time.Duration
-	Max    time.Duration
+	Sent         int64
+	OK           int64
+	WithinTarget int64
+	P50          time.Duration
+	P99          time.Duration
+	Max          time.Duration
 }
 
-// Percentiles of a latency.
+// Percentiles summarizes a distribution of times.
 type Percentiles struct {
 	P50, P90, P99, P999, Max, Mean time.Duration
 }
 
-// recorder collects the outcomes of one kind of work. It is safe for concurrent
-// use.
+// recorder collects the results of one kind of work from all sessions. It is
+// safe for concurrent use.
 type recorder struct {
 	work Work
 
 	// mu guards the fields below.
-	mu       sync.Mutex
-	outcomes map[string]int64
-	sent     int64
-	inside   int64
-	latency  *hdrhistogram.Histogram
-	response *hdrhistogram.Histogram
-	lastOK   time.Duration
-	gap      time.Duration
-	gapAt    time.Duration
-	end      time.Duration
-	seconds  []secondRecord
+	mu           sync.Mutex
+	outcomes     map[string]int64
+	sent         int64
+	withinTarget int64
+	latency      *hdrhistogram.Histogram
+	response     *hdrhistogram.Histogram
+	lastOK       time.Duration
+	longestGap   time.Duration
+	gapStart     time.Duration
+	lastFinished time.Duration
+	seconds      []secondRecord
 }
 
 type secondRecord struct {
-	sent, ok, inside int64
-	latency          *hdrhistogram.Histogram
+	sent, ok, withinTarget int64
+	latency                *hdrhistogram.Histogram
 }
 
 func newRecorder(work Work, duration time.Duration) *recorder {
 	return &recorder{
 		work:     work,
 		outcomes: map[string]int64{},
-		latency:  newHistogram(latencyDigits),
-		response: newHistogram(latencyDigits),
+		latency:  newHistogram(runLatencyDigits),
+		response: newHistogram(runLatencyDigits),
 		seconds:  make([]secondRecord, int(duration/time.Second)+1),
 	}
 }
@@ -104,64 +109,68 @@
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	micros := min(max(d.Microseconds(), minLatencyMicros), maxLatencyMicros)
-	// The value lies within the histogram's range.
+	// RecordValue fails only for values outside of the histogram's range.
 	_ = h.RecordValue(micros)
 }
 
-// dropped counts a request that found no place in the queue.
-func (r *recorder) dropped(at time.Duration) {
+// recordDropped counts a request that was not sent because the queue of its
+// class was full.
+func (r *recorder) recordDropped(due time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.count(at, outcomeDropped)
+	r.count(due, outcomeDropped)
 }
 
-func (r *recorder) count(at time.Duration, outcome string) *secondRecord {
+// count counts a request under its outcome and returns the second that it was due
+// in. The caller holds mu.
+func (r *recorder) count(due time.Duration, outcome string) *secondRecord {
 	r.sent++
 	r.outcomes[outcome]++
-	second := &r.seconds[min(int(at/time.Second), len(r.seconds)-1)]
+	second := &r.seconds[min(int(due/time.Second), len(r.seconds)-1)]
 	second.sent++
 	return second
 }
 
-// done records a request that was due at a time after the start.
-func (r *recorder) done(at time.Duration, start, sent, answered time.Time, outcome string) {
+// recordFinished records a request that ended at answered. due counts from start.
+func (r *recorder) recordFinished(due time.Duration, start, sent, answered time.Time, outcome string) {
 	finished := answered.Sub(start)
-	latency := finished - at
+	latency := finished - due
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.end = max(r.end, finished)
-	second := r.count(at, outcome)
+	r.lastFinished = max(r.lastFinished, finished)
+	second := r.count(due, outcome)
 	if outcome != outcomeOK {
 		return
 	}
-	r.noteGap(finished)
+	r.updateGap(finished)
 	second.ok++
 	record(r.latency, latency)
 	record(r.response, answered.Sub(sent))
 	if second.latency == nil {
-		second.latency = newHistogram(secondDigits)
+		second.latency = newHistogram(secondLatencyDigits)
 	}
 	record(second.latency, latency)
 	if latency <= r.work.Wait+r.work.Service {
-		r.inside++
-		second.inside++
+		r.withinTarget++
+		second.withinTarget++
 	}
 }
 
-// noteGap keeps the longest time between two successful answers.
-func (r *recorder) noteGap(finished time.Duration) {
-	if gap := finished - r.lastOK; gap > r.gap {
-		r.gap = gap
-		r.gapAt = r.lastOK
+// updateGap updates the longest time between two successful answers with one
+// that came at finished, counted from the start of the run.
+func (r *recorder) updateGap(finished time.Duration) {
+	if gap := finished - r.lastOK; gap > r.longestGap {
+		r.longestGap = gap
+		r.gapStart = r.lastOK
 	}
 	r.lastOK = max(r.lastOK, finished)
 }
 
 func (r *run) result() *Result {
 	result := &Result{Profile: r.options.Profile.Name, Seed: r.options.Seed}
-	for _, record := range r.records {
-		result.Work = append(result.Work, record.result())
-		result.Elapsed = max(result.Elapsed, record.end)
+	for _, recorder := range r.recorders {
+		result.Work = append(result.Work, recorder.result())
+		result.Elapsed = max(result.Elapsed, recorder.lastFinished)
 	}
 	return result
 }
@@ -169,22 +178,23 @@
 func (r *recorder) result() WorkResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.noteGap(max(r.end, r.lastOK))
+	// The time from the last success until the end of the last request is a gap too.
+	r.updateGap(max(r.lastFinished, r.lastOK))
 	result := WorkResult{
-		Name:       r.work.Name,
-		Write:      r.work.Write,
-		Wait:       r.work.Wait,
-		Sent:       r.sent,
-		OK:         r.outcomes[outcomeOK],
-		Outcomes:   r.outcomes,
-		Inside:     r.inside,
-		Latency:    percentiles(r.latency),
-		Response:   percentiles(r.response),
-		LongestGap: r.gap,
-		GapAt:      r.gapAt,
+		Name:         r.work.Name,
+		Write:        r.work.Write,
+		Wait:         r.work.Wait,
+		Sent:         r.sent,
+		OK:           r.outcomes[outcomeOK],
+		Outcomes:     r.outcomes,
+		WithinTarget: r.withinTarget,
+		Latency:      percentiles(r.latency),
+		Response:     percentiles(r.response),
+		LongestGap:   r.longestGap,
+		GapStart:     r.gapStart,
 	}
 	if r.sent > 0 {
-		result.Share = float64(r.inside) / float64(r.sent)
+		result.Share = float64(r.withinTarget) / float64(r.sent)
 	}
 	for _, second := range r.seconds {
 		result.Seconds = append(result.Seconds, second.result())
@@ -193,7 +203,7 @@
 }
 
 func (s secondRecord) result() Second {
-	second := Second{Sent: s.sent, OK: s.ok, Inside: s.inside}
+	second := Second{Sent: s.sent, OK: s.ok, WithinTarget: s.withinTarget}
 	if s.latency != nil {
 		second.P50 = quantile(s.latency, 50)
 		second.P99 = quantile(s.latency, 99)
--- a/loadgen/session.go
+++ b/loadgen/session.go
@@ -20,13 +20,14 @@
 	outcomeNoConnection = "no_connection"
 	outcomeDropped      = "dropped"
 
-	sessionParameter = "lovageslip.session"
-	classParameter   = "lovageslip.class"
-	reconnectDelay   = 50 * time.Millisecond
-	connectAtOnce    = 32
+	sessionParameter   = "lovageslip.session"
+	classParameter     = "lovageslip.class"
+	reconnectDelay     = 50 * time.Millisecond
+	maxConcurrentDials = 32
 )
 
-// session is one connection. It keeps its session token across reconnections.
+// session is one connection that takes requests from the queue of its class. When
+// it reconnects, it presents the last session token that it received.
 type session struct {
 	run    *run
 	queue  chan arrival
@@ -35,17 +36,17 @@
 	token  string
 }
 
-// text is a statement around its parameter.
-type text struct {
+// sqlTemplate is a statement, split at its parameter $1.
+type sqlTemplate struct {
 	before, after string
 }
 
-func newText(w Work) text {
+func newTemplate(w Work) sqlTemplate {
 	before, after, _ := strings.Cut(w.statement(), "$1")
-	return text{before: before, after: after}
+	return sqlTemplate{before: before, after: after}
 }
 
-// connect opens all sessions.
+// connect opens all sessions and closes them again if one can't be opened.
 func (r *run) connect(ctx context.Context) ([]*session, error) {
 	var sessions []*session
 	for class, queue := range r.queues {
@@ -57,7 +58,7 @@
 			sessions = append(sessions, s)
 		}
 	}
-	tasks := pool.New().WithMaxGoroutines(connectAtOnce).WithErrors().WithFirstError()
+	tasks := pool.New().WithMaxGoroutines(maxConcurrentDials).WithErrors().WithFirstError()
 	for _, s := range sessions {
 		tasks.Go(func() error { return s.dial(ctx) })
 	}
@@ -104,13 +105,13 @@
 	_ = s.conn.Close(ctx)
 }
 
-// serve runs requests one after the other until the queue ends.
+// serve executes requests one after the other until the queue is closed.
 func (s *session) serve() {
 	defer s.close()
 	for next := range s.queue {
 		sent := time.Now()
 		outcome := s.request(next)
-		s.run.records[next.work].done(next.at, s.run.start, sent, time.Now(), outcome)
+		s.run.recorders[next.work].recordFinished(next.due, s.run.start, sent, time.Now(), outcome)
 		labels := map[string]string{"work": s.run.options.Profile.Work[next.work].Name, "outcome": outcome}
 		s.run.metrics.Tagged(labels).Counter("requests").Inc(1)
 	}
@@ -121,20 +122,21 @@
 	defer cancel()
 	if s.conn == nil || s.conn.IsClosed() {
 		if err := s.dial(ctx); err != nil {
-			// Without a pause, a refused session would use up the queue.
+			// Without a pause, a session whose connections are refused would
+			// take all queued requests at once and fail them.
 			time.Sleep(reconnectDelay)
-			return outcomeOf(err, outcomeNoConnection)
+			return outcomeForError(err, outcomeNoConnection)
 		}
 	}
-	err := s.execute(ctx, s.run.texts[next.work], strconv.Itoa(next.row))
+	err := s.execute(ctx, s.run.templates[next.work], strconv.Itoa(next.row))
 	s.token = s.conn.ParameterStatus(sessionParameter)
 	if err != nil {
-		return outcomeOf(err, outcomeDisconnected)
+		return outcomeForError(err, outcomeDisconnected)
 	}
 	return outcomeOK
 }
 
-func (s *session) execute(ctx context.Context, t text, row string) error {
+func (s *session) execute(ctx context.Context, t sqlTemplate, row string) error {
 	if s.run.options.Extended {
 		result := s.conn.ExecParams(ctx, t.before+"$1"+t.after, [][]byte{[]byte(row)}, nil, nil, nil)
 		_, err := result.Close()
@@ -143,8 +145,9 @@
 	return s.conn.Exec(ctx, t.before+row+t.after).Close()
 }
 
-// outcomeOf names a failure: its SQLSTATE if the server gave one.
-func outcomeOf(err error, otherwise string) string {
+// outcomeForError returns the SQLSTATE that the server answered with, or timeout,
+// or fallback for other errors.
+func outcomeForError(err error, fallback string) string {
 	var failure *pgconn.PgError
 	if errors.As(err, &failure) {
 		return failure.Code
@@ -152,5 +155,5 @@
 	if errors.Is(err, context.DeadlineExceeded) || pgconn.Timeout(err) {
 		return outcomeTimeout
 	}
-	return otherwise
+	return fallback
 }
