--- a/integration/answer_test.go
+++ b/integration/answer_test.go
@@ -19,19 +19,21 @@
 	longRows   = 300
 	longColumn = 1000
 	longBytes  = longRows * longColumn
-	// partBytes is more than an owner or entry keeps back of a long answer.
-	partBytes = 40_000
+	// bufferedBytes is more than an owner or entry buffers of a long answer
+	// before it passes on the first part.
+	bufferedBytes = 40_000
 )
 
-// longQuery asks for longRows rows that carry a tag.
+// longQuery returns a query for longRows rows that contain a tag.
 func longQuery(tag string) string {
 	return fmt.Sprintf("WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL SELECT i + 1 FROM n WHERE i < %d) "+
 		"SELECT CAST(i AS TEXT), '%s ' || hex(zeroblob(%d)) FROM n", longRows, tag, longColumn/2)
 }
 
-// checkLong runs a longQuery. It returns an error of the query, and fails the
-// test if an answer without an error is not whole or not its own.
-func checkLong(ctx context.Context, t testing.TB, conn *pgx.Conn, tag string) error {
+// checkLongAnswer executes longQuery(tag) and returns the query's error. It
+// fails the test if the answer holds rows of another request, or is incomplete
+// although there was no error.
+func checkLongAnswer(ctx context.Context, t testing.TB, conn *pgx.Conn, tag string) error {
 	ctx, cancel := context.WithTimeout(ctx, 15*time.Second)
 	defer cancel()
 	rows, err := conn.Query(ctx, longQuery(tag))
@@ -57,12 +59,12 @@
 	return rows.Err()
 }
 
-// Guards against an answer that is cut half way and reaches the caller as a
-// shorter one.
-func TestAnswerCutHalfWayIsAnError(t *testing.T) {
+// Guards against an answer that reaches the caller truncated but without an
+// error, because a connection closed in the middle of it.
+func TestTruncatedAnswerIsAnError(t *testing.T) {
 	s := startSite(t, siteOptions{controls: 1, proxies: 2})
 	for _, between := range []string{"owner and upstream", "entry and owner"} {
-		for _, bytes := range []int{200, 5000, partBytes, longBytes / 2, longBytes - 500} {
+		for _, bytes := range []int{200, 5000, bufferedBytes, longBytes / 2, longBytes - 500} {
 			primary, _ := s.primary()
 			owner := s.ownerOf(primary)
 			l := s.links[primary]
@@ -70,19 +72,19 @@
 				l = s.links[fmt.Sprintf("proxy-%d", owner+1)]
 			}
 			conn := s.connect(s.otherProxy(owner), "filing")
-			s.await("a whole answer", func(ctx context.Context) error { return checkLong(ctx, t, conn, "whole") })
-			remove := l.toxic(t, "limit_data", "downstream", map[string]any{"bytes": bytes})
-			err := checkLong(context.Background(), t, conn, "cut")
+			s.await("a whole answer", func(ctx context.Context) error { return checkLongAnswer(ctx, t, conn, "whole") })
+			remove := l.addToxic(t, "limit_data", "downstream", map[string]any{"bytes": bytes})
+			err := checkLongAnswer(context.Background(), t, conn, "cut")
 			remove()
-			// An answer that is cut before its first part went on may be read
-			// again elsewhere; a later one can only fail.
-			assert.Check(t, err != nil || bytes < partBytes, "cut between %s after %d bytes: no error", between, bytes)
+			// The read may be retried elsewhere until the first part of its
+			// answer has been passed on; later it can only fail.
+			assert.Check(t, err != nil || bytes < bufferedBytes, "cut between %s after %d bytes: no error", between, bytes)
 			t.Logf("cut between %s after %d bytes: %v", between, bytes, err)
 		}
 	}
 }
 
-// Guards against an answer that arrives late and is given to another request.
+// Guards against an answer that arrives late and is delivered to another request.
 func TestLateAnswersReachNoOtherRequest(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
@@ -95,20 +97,21 @@
 		for caller := range 8 {
 			name := fmt.Sprintf("caller %d of proxy %d", caller, proxy)
 			class := []string{"filing", "reading"}[caller%2]
-			callers.Go(func() { s.readOwn(stop, proxy, class, name, &whole, &failed) })
+			callers.Go(func() { s.readTaggedRows(stop, proxy, class, name, &whole, &failed) })
 		}
 	}
 	for end := time.Now().Add(8 * time.Second); time.Now().Before(end); {
-		s.disturb(random)
+		s.injectFault(random)
 	}
 	close(stop)
 	callers.Wait()
 	t.Logf("%d whole answers, %d failed", whole.Load(), failed.Load())
-	assert.Assert(t, whole.Load() > 50 && failed.Load() > 10, "too little was disturbed or answered")
+	assert.Assert(t, whole.Load() > 50 && failed.Load() > 10, "too few answers or too few failures for a conclusion")
 }
 
-// readOwn reads values that are different for each request.
-func (s *site) readOwn(stop <-chan struct{}, proxy int, class, name string, whole, failed *atomic.Int64) {
+// readTaggedRows sends queries, each with a tag of its own in its rows, until
+// stop is closed. Every seventh has a timeout of 5 ms.
+func (s *site) readTaggedRows(stop <-chan struct{}, proxy int, class, name string, whole, failed *atomic.Int64) {
 	var conn *pgx.Conn
 	for i := 0; !closed(stop); i++ {
 		ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
@@ -117,12 +120,12 @@
 			conn, err = s.dial(ctx, proxy, s.options.databases[0], class)
 		}
 		if i%7 == 6 {
-			// The caller gives up, so its answer arrives for nobody.
+			// The answer arrives after the caller has given up.
 			cancel()
 			ctx, cancel = context.WithTimeout(context.Background(), 5*time.Millisecond)
 		}
 		if err == nil {
-			err = checkLong(ctx, s.t, conn, fmt.Sprintf("%s request %d", name, i))
+			err = checkLongAnswer(ctx, s.t, conn, fmt.Sprintf("%s request %d", name, i))
 		}
 		cancel()
 		if err != nil {
@@ -137,24 +140,25 @@
 	}
 }
 
-// disturb slows or cuts one link to a proxy or an upstream for a moment.
-func (s *site) disturb(random *rand.Rand) {
+// injectFault slows down or cuts a random link to a proxy or an upstream for
+// 50 to 200 ms.
+func (s *site) injectFault(random *rand.Rand) {
 	names := []string{"proxy-1", "proxy-2", "proxy-3", "diary-1", "diary-2", "diary-3"}
 	l := s.links[names[random.IntN(len(names))]]
-	held := time.Duration(50+random.IntN(150)) * time.Millisecond
+	duration := time.Duration(50+random.IntN(150)) * time.Millisecond
 	var remove func()
 	switch random.IntN(4) {
 	case 0:
 		l.cut()
 		remove = func() { l.heal(s.t) }
 	case 1:
-		remove = l.toxic(s.t, "latency", "downstream", map[string]any{"latency": 20, "jitter": 20})
+		remove = l.addToxic(s.t, "latency", "downstream", map[string]any{"latency": 20, "jitter": 20})
 	case 2:
-		remove = l.toxic(s.t, "bandwidth", "downstream", map[string]any{"rate": 1000})
+		remove = l.addToxic(s.t, "bandwidth", "downstream", map[string]any{"rate": 1000})
 	case 3:
-		remove = l.toxic(s.t, "limit_data", "downstream", map[string]any{"bytes": random.IntN(2 * longBytes)})
+		remove = l.addToxic(s.t, "limit_data", "downstream", map[string]any{"bytes": random.IntN(2 * longBytes)})
 	}
-	time.Sleep(held)
+	time.Sleep(duration)
 	remove()
 	time.Sleep(50 * time.Millisecond)
 }
--- a/integration/cancel_test.go
+++ b/integration/cancel_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a cancel request that is lost because the balancer sent it to
-// another proxy than the caller's own.
+// Guards against a cancel request without effect because a load balancer sent
+// it to another proxy than the one that runs the caller's statement.
 func TestCancelRequestAtAnotherProxy(t *testing.T) {
 	s := startSite(t, siteOptions{proxies: 2})
 	conn := s.connect(0, "filing")
@@ -26,9 +26,10 @@
 	request := &pgproto3.CancelRequest{ProcessID: conn.PgConn().PID(), SecretKey: key}
 	packet, err := request.Encode(nil)
 	assert.NilError(t, err)
-	// The statement may not have started yet, so the request is repeated.
+	// The cancel request is repeated because it has no effect before the
+	// statement has started.
 	s.await("the statement is cancelled", func(context.Context) error {
-		other, err := net.Dial("tcp", s.callers[1])
+		other, err := net.Dial("tcp", s.callerAddresses[1])
 		assert.NilError(t, err)
 		defer other.Close()
 		_, err = other.Write(packet)
@@ -38,7 +39,7 @@
 			assert.Equal(t, sqlState(err), "57014", "%v", err)
 			return nil
 		case <-time.After(100 * time.Millisecond):
-			return fmt.Errorf("still running")
+			return fmt.Errorf("the statement is still running")
 		}
 	})
 	assert.Assert(t, time.Since(start) < 40*time.Second)
--- a/integration/capacity_test.go
+++ b/integration/capacity_test.go
@@ -18,15 +18,16 @@
 	idleTime = 10 * time.Second
 	// clockTick is the unit of processor time in /proc.
 	clockTick = 10 * time.Millisecond
-	// proxiesPerDatabase keeps the number of owned upstreams per proxy the
-	// same at each size, as at the size that the capacity page is for.
+	// proxiesPerDatabase gives each proxy the same number of owned upstreams at
+	// each size, the number that the capacity page assumes.
 	proxiesPerDatabase = 3
 )
 
-// BenchmarkControlCost measures what idle proxies and control hosts spend on
-// control at several sizes: bytes that a proxy exchanges with control hosts,
-// processor time (which includes the status polls of owned upstreams) and
-// memory. Run it with -benchtime=1x.
+// BenchmarkControlCost measures the cost of control traffic at several sizes
+// of an idle site: the bytes that a proxy exchanges with control hosts, the
+// processor time of proxies (including the status polls of owned upstreams)
+// and of the control leader, and the memory of both. Run it with
+// -benchtime=1x.
 func BenchmarkControlCost(b *testing.B) {
 	for _, proxies := range []int{6, 12, 24, 48} {
 		b.Run(fmt.Sprintf("proxies=%d", proxies), func(b *testing.B) {
@@ -43,7 +44,7 @@
 		databases = append(databases, fmt.Sprintf("db%d", i+1))
 	}
 	s := startSite(b, siteOptions{controls: 3, proxies: proxies, databases: databases})
-	time.Sleep(idleTime) // the start is over: leases, members and garbage collection
+	time.Sleep(idleTime) // excludes the start: first leases, members and garbage collection
 	before := s.usages()
 	start := time.Now()
 	time.Sleep(idleTime)
@@ -71,7 +72,8 @@
 	b.ReportMetric(leader.memory/(1<<20), "leader-MiB")
 }
 
-// usage is what a process has spent so far, and its resident memory in bytes.
+// usage is the processor time of a process since its start, its resident
+// memory in bytes, and for proxies the bytes exchanged with control hosts.
 type usage struct {
 	cpu          time.Duration
 	memory       float64
@@ -99,29 +101,29 @@
 	p.t.Helper()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	assert.NilError(p.t, err)
-	// The fields after the command name; utime and stime are the 14th and
-	// 15th of the line, resident pages the 24th.
+	// fields begins after the command name, the second field of the line. In
+	// the line, utime and stime are fields 14 and 15, resident pages field 24.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
-	user, system, pages := number(fields[11]), number(fields[12]), number(fields[21])
+	user, system, pages := parseNumber(fields[11]), parseNumber(fields[12]), parseNumber(fields[21])
 	return usage{cpu: time.Duration(user+system) * clockTick, memory: pages * float64(os.Getpagesize())}
 }
 
-func number(text string) float64 {
+func parseNumber(text string) float64 {
 	n, _ := strconv.ParseFloat(text, 64)
 	return n
 }
 
-// metric returns the sum of a counter over its labels.
+// metric returns a counter of a proxy, summed over its labels.
 func (s *site) metric(proxy int, name string) float64 {
 	s.t.Helper()
-	response, err := http.Get("http://" + s.metrics[proxy] + "/metrics")
+	response, err := http.Get("http://" + s.metricsAddresses[proxy] + "/metrics")
 	assert.NilError(s.t, err)
 	defer response.Body.Close()
 	total := 0.0
 	for lines := bufio.NewScanner(response.Body); lines.Scan(); {
 		labelled, value, _ := strings.Cut(lines.Text(), " ")
 		if plain, _, _ := strings.Cut(labelled, "{"); plain == name {
-			total += number(value)
+			total += parseNumber(value)
 		}
 	}
 	return total
--- a/integration/control_test.go
+++ b/integration/control_test.go
@@ -20,32 +20,36 @@
 
 const (
 	configChanges = 500
-	// configWithin is the longest time from acceptance of a change until every
-	// proxy holds it.
-	configWithin = 11 * time.Second
-	movingClass  = "moving"
-	// changePause spreads the changes, so that proxies hold states between them.
+	// configDelayLimit is the longest time from the acceptance of a change until
+	// every proxy has applied it.
+	configDelayLimit = 11 * time.Second
+	changingClass    = "moving"
+	// changePause spaces out the changes, so that proxies also apply versions
+	// between the first and the last one.
 	changePause = 25 * time.Millisecond
 )
 
-// moving returns a class whose wait tells which change of a test it is.
-func moving(change int) class.Class {
-	return class.Class{Name: movingClass, Wait: time.Second + time.Duration(change)*time.Millisecond}
+// classForChange returns the class changingClass with a wait that encodes the
+// number of the change, so that tests can read the number from a proxy's
+// metrics.
+func classForChange(change int) class.Class {
+	return class.Class{Name: changingClass, Wait: time.Second + time.Duration(change)*time.Millisecond}
 }
 
-// heldChange returns which change of the moving class a proxy holds, and false
-// if the proxy does not answer or holds none.
-func (s *site) heldChange(proxy int) (change int, held bool) {
+// appliedChange returns the number of the change of changingClass that is in
+// force on a proxy, and false if the proxy doesn't answer or doesn't have the
+// class.
+func (s *site) appliedChange(proxy int) (change int, applied bool) {
 	client := http.Client{Timeout: time.Second}
-	response, err := client.Get("http://" + s.metrics[proxy] + "/metrics")
+	response, err := client.Get("http://" + s.metricsAddresses[proxy] + "/metrics")
 	if err != nil {
 		return 0, false
 	}
 	defer response.Body.Close()
 	for lines := bufio.NewScanner(response.Body); lines.Scan(); {
 		line := lines.Text()
-		if strings.HasPrefix(line, "lovageslip_member_class_wait_seconds{") && strings.Contains(line, `class="`+movingClass+`"`) {
-			wait := number(line[strings.LastIndexByte(line, ' ')+1:])
+		if strings.HasPrefix(line, "lovageslip_member_class_wait_seconds{") && strings.Contains(line, `class="`+changingClass+`"`) {
+			wait := parseNumber(line[strings.LastIndexByte(line, ' ')+1:])
 			// A gauge is zero until the first report after its creation.
 			return int((wait-1)*1000 + 0.5), wait != 0
 		}
@@ -53,31 +57,34 @@
 	return 0, false
 }
 
-// holding is when a proxy was first seen to hold each change.
-type holding struct {
-	last  int
-	first map[int]time.Time
+// appliedChanges holds the number of the last change that was seen in force on a
+// proxy, and when each change, or a later one, was first seen.
+type appliedChanges struct {
+	lastSeen  int
+	firstSeen map[int]time.Time
 }
 
-// watchHeld samples a proxy until stop is closed. A proxy that holds an older
-// change after a newer one fails the test, also across a restart.
-func (s *site) watchHeld(stop <-chan struct{}, proxy int, h *holding) {
+// watchAppliedChanges polls a proxy's applied change until stop is closed. It
+// fails the test if the proxy goes back to an older change, also across a
+// restart.
+func (s *site) watchAppliedChanges(stop <-chan struct{}, proxy int, seen *appliedChanges) {
 	for !closed(stop) {
-		change, held := s.heldChange(proxy)
+		change, applied := s.appliedChange(proxy)
 		now := time.Now()
-		if held && change < h.last {
-			s.t.Errorf("proxy-%d went back from change %d to %d", proxy+1, h.last, change)
+		if applied && change < seen.lastSeen {
+			s.t.Errorf("proxy-%d went back from change %d to %d", proxy+1, seen.lastSeen, change)
 			return
 		}
-		for ; held && h.last < change; h.last++ {
-			h.first[h.last+1] = now
+		for ; applied && seen.lastSeen < change; seen.lastSeen++ {
+			seen.firstSeen[seen.lastSeen+1] = now
 		}
 		time.Sleep(30 * time.Millisecond)
 	}
 }
 
-// changeUntilKnown sends a change again with its id until it has an answer.
-func (s *site) changeUntilKnown(client *admin.Client, change admin.Change) (uint64, error) {
+// changeUntilAnswered sends a change, and resends it with the same change id
+// until a control host answers.
+func (s *site) changeUntilAnswered(client *admin.Client, change admin.Change) (uint64, error) {
 	var version uint64
 	var answer error
 	s.await("answer to change "+change.ChangeID, func(ctx context.Context) error {
@@ -91,7 +98,7 @@
 	return version, answer
 }
 
-// classVersion returns the version of the classes that a quorum holds.
+// classVersion returns the present version of the classes.
 func (s *site) classVersion() uint64 {
 	s.t.Helper()
 	var version uint64
@@ -103,31 +110,34 @@
 	return version
 }
 
-func (s *site) changeMoving(version uint64, change int) uint64 {
+// changeClass makes a change of changingClass and returns the new version. It
+// resends every 25th change, which must get the same answer.
+func (s *site) changeClass(version uint64, change int) uint64 {
 	s.t.Helper()
-	c := admin.Change{ChangeID: fmt.Sprintf("change-%d", change), Expected: version, Class: moving(change), Operator: "one"}
-	next, err := s.changeUntilKnown(s.admin, c)
+	c := admin.Change{ChangeID: fmt.Sprintf("change-%d", change), Expected: version, Class: classForChange(change), Operator: "one"}
+	next, err := s.changeUntilAnswered(s.admin, c)
 	assert.NilError(s.t, err)
 	assert.Equal(s.t, next, version+1)
 	if change%25 == 0 {
-		again, err := s.changeUntilKnown(s.admin, c)
+		again, err := s.changeUntilAnswered(s.admin, c)
 		assert.NilError(s.t, err)
-		assert.Equal(s.t, again, next, "%s sent again", c.ChangeID)
+		assert.Equal(s.t, again, next, "%s was resent", c.ChangeID)
 	}
 	return next
 }
 
-// raceMoving lets two operators make a change of the same version.
-func (s *site) raceMoving(version uint64, change int) uint64 {
+// raceChange lets two operators change the same version at the same time. One
+// must succeed, and the other must get a conflict that names the winner.
+func (s *site) raceChange(version uint64, change int) uint64 {
 	s.t.Helper()
 	var versions [2]uint64
 	var errs [2]error
 	var operators sync.WaitGroup
 	for i := range 2 {
 		c := admin.Change{
-			ChangeID: fmt.Sprintf("change-%d-of-%d", change, i), Expected: version, Class: moving(change), Operator: fmt.Sprint(i),
+			ChangeID: fmt.Sprintf("change-%d-of-%d", change, i), Expected: version, Class: classForChange(change), Operator: fmt.Sprint(i),
 		}
-		operators.Go(func() { versions[i], errs[i] = s.changeUntilKnown(s.admin, c) })
+		operators.Go(func() { versions[i], errs[i] = s.changeUntilAnswered(s.admin, c) })
 	}
 	operators.Wait()
 	won := 0
@@ -142,18 +152,18 @@
 	return versions[won]
 }
 
-// Guards against a configuration that goes back to an older one, on a control
-// host or on a proxy, when hosts are killed and restarted.
+// Guards against a control host or proxy that goes back to an older configuration
+// when hosts are killed and restarted.
 func TestConfigurationNeverReverts(t *testing.T) {
 	s := startSite(t, siteOptions{controls: 3, proxies: 3})
-	held := make([]*holding, len(s.proxies))
+	applied := make([]*appliedChanges, len(s.proxies))
 	stop := make(chan struct{})
 	var samplers sync.WaitGroup
 	end := sync.OnceFunc(func() { close(stop); samplers.Wait() })
 	t.Cleanup(end)
 	for i := range s.proxies {
-		held[i] = &holding{first: map[int]time.Time{}}
-		samplers.Go(func() { s.watchHeld(stop, i, held[i]) })
+		applied[i] = &appliedChanges{firstSeen: map[int]time.Time{}}
+		samplers.Go(func() { s.watchAppliedChanges(stop, i, applied[i]) })
 	}
 	accepted := map[int]time.Time{}
 	version := s.classVersion()
@@ -165,34 +175,34 @@
 			s.proxies[change/60%3].restart()
 		}
 		if change%40 == 0 {
-			version = s.raceMoving(version, change)
+			version = s.raceChange(version, change)
 		} else {
-			version = s.changeMoving(version, change)
+			version = s.changeClass(version, change)
 		}
 		accepted[change] = time.Now()
 		time.Sleep(changePause)
 	}
-	s.await("the last change on all proxies", func(context.Context) error {
+	s.await("the last change is in force on all proxies", func(context.Context) error {
 		for i := range s.proxies {
-			if change, _ := s.heldChange(i); change != configChanges {
-				return fmt.Errorf("proxy-%d holds change %d", i+1, change)
+			if change, _ := s.appliedChange(i); change != configChanges {
+				return fmt.Errorf("proxy-%d has change %d in force", i+1, change)
 			}
 		}
 		return nil
 	})
-	time.Sleep(200 * time.Millisecond) // the samplers have seen it too
+	time.Sleep(200 * time.Millisecond) // lets the samplers see the last change
 	end()
 	assert.Equal(t, s.classVersion(), version)
-	s.assertHeldInTime(accepted, held)
+	s.assertAppliedInTime(accepted, applied)
 }
 
-func (s *site) assertHeldInTime(accepted map[int]time.Time, held []*holding) {
+func (s *site) assertAppliedInTime(accepted map[int]time.Time, applied []*appliedChanges) {
 	s.t.Helper()
 	var times []time.Duration
 	for change, at := range accepted {
 		var longest time.Duration
-		for i, h := range held {
-			seen, ok := h.first[change]
+		for i, a := range applied {
+			seen, ok := a.firstSeen[change]
 			assert.Assert(s.t, ok, "change %d was not seen on proxy-%d", change, i+1)
 			longest = max(longest, seen.Sub(at))
 		}
@@ -200,6 +210,6 @@
 	}
 	slices.Sort(times)
 	n := len(times)
-	s.t.Logf("all proxies held a change after: p50 %s, p90 %s, p99 %s, max %s", times[n/2], times[n*9/10], times[n*99/100], times[n-1])
-	assert.Assert(s.t, times[n-1] < configWithin)
+	s.t.Logf("time from acceptance of a change until all proxies applied it: p50 %s, p90 %s, p99 %s, max %s", times[n/2], times[n*9/10], times[n*99/100], times[n-1])
+	assert.Assert(s.t, times[n-1] < configDelayLimit)
 }
--- a/integration/failover_test.go
+++ b/integration/failover_test.go
@@ -13,7 +13,8 @@
 	"lovageslip/standin"
 )
 
-// primary returns the upstream that the control hosts hold for the primary.
+// primary returns the upstream that the control hosts name as the primary of the
+// first database.
 func (s *site) primary() (string, *standin.Server) {
 	s.t.Helper()
 	var name string
@@ -27,6 +28,7 @@
 	return name, s.upstreams[name]
 }
 
+// awaitOtherPrimary waits until the control hosts name another primary than old.
 func (s *site) awaitOtherPrimary(old string) {
 	s.t.Helper()
 	s.await("another primary than "+old, func(context.Context) error {
@@ -37,46 +39,46 @@
 	})
 }
 
-// Guards against acknowledged writes that are lost with the primary, and
-// against writes that run twice when they are sent again.
+// Guards against acknowledged writes that are lost when the primary is killed,
+// and against writes that run twice when they are resent.
 func TestPrimaryKilledLosesNoAcknowledgedWrite(t *testing.T) {
 	s := startSite(t, siteOptions{controls: 3, proxies: 3, lag: 20 * time.Millisecond})
 	records, stop := s.runWriters(2, true)
 	for _, r := range records {
-		s.awaitMore(r, 5)
+		s.awaitMoreAcks(r, 5)
 	}
 	name, server := s.primary()
 	server.Kill()
 	s.awaitOtherPrimary(name)
 	for _, r := range records {
-		s.awaitMore(r, 5)
+		s.awaitMoreAcks(r, 5)
 	}
 	stop()
-	s.assertEachOnce(0, records...)
+	s.assertExactlyOnce(0, records...)
 }
 
-// Guards against a replaced primary that goes on acknowledging: it is cut off
-// from its group but its callers still reach it.
+// Guards against a replaced primary that still acknowledges writes: it is cut off
+// from its replicas, but callers can still reach it.
 func TestPrimaryCutOffFromGroupAcknowledgesNothing(t *testing.T) {
 	s := startSite(t, siteOptions{controls: 3, proxies: 2})
 	records, stop := s.runWriters(2, true)
 	for _, r := range records {
-		s.awaitMore(r, 5)
+		s.awaitMoreAcks(r, 5)
 	}
-	// Only after one lease with the same members does the control leader know
-	// that the replicas alone hold everything that was acknowledged.
+	// The control leader can rely on the replicas alone to hold all acknowledged
+	// writes only after the members were the same for one lease.
 	s.awaitControlLog("members settled")
 	name, _ := s.primary()
-	// Replicas lose their links to the old primary; callers and the owners
+	// Replicas lose their connections to the old primary; callers and owners
 	// still reach all three servers.
 	s.setReplicationBroken(true)
 	s.awaitOtherPrimary(name)
 	s.setReplicationBroken(false)
 	for _, r := range records {
-		s.awaitMore(r, 5)
+		s.awaitMoreAcks(r, 5)
 	}
 	stop()
-	s.assertEachOnce(0, records...)
+	s.assertExactlyOnce(0, records...)
 }
 
 // awaitControlLog waits until a control host has logged a message.
@@ -98,22 +100,22 @@
 	}
 }
 
-// Guards against an old primary that comes back with writes that nobody else
-// has and serves them.
+// Guards against an old primary that becomes reachable again and serves writes
+// that no other upstream has.
 func TestReturningOldPrimaryDropsItsOwnWrites(t *testing.T) {
 	s := startSite(t, siteOptions{controls: 3, proxies: 2})
 	records, stop := s.runWriters(2, false)
 	for _, r := range records {
-		s.awaitMore(r, 5)
+		s.awaitMoreAcks(r, 5)
 	}
 	name, server := s.primary()
 	s.links[name].cut()
 	s.awaitOtherPrimary(name)
 	for _, r := range records {
-		s.awaitMore(r, 5)
+		s.awaitMoreAcks(r, 5)
 	}
 	s.links[name].heal(t)
-	s.await("the old primary follows", func(context.Context) error {
+	s.await("the old primary follows the new one", func(context.Context) error {
 		_, primary := s.primary()
 		status, want := server.Status(), primary.Status()
 		if status.Term != want.Term || status.Offset < want.Offset {
@@ -123,12 +125,12 @@
 		return nil
 	})
 	stop()
-	s.assertEachOnce(0, records...)
+	s.assertExactlyOnce(0, records...)
 }
 
-// BenchmarkChangeOfPrimary measures the gap in service at a loss of the
-// primary, for writes and for reads of the class reading. Run it with
-// -benchtime=20x; each round kills the primary of a new site.
+// BenchmarkChangeOfPrimary measures the longest time without a successful write,
+// and without a successful read of the class reading, when the primary is killed.
+// Each round starts a new site; run it with -benchtime=20x.
 func BenchmarkChangeOfPrimary(b *testing.B) {
 	var writes, reads []time.Duration
 	for range b.N {
@@ -146,7 +148,7 @@
 	records, stop := s.runWriters(1, true)
 	readers, stopReaders := s.runReaders()
 	for _, r := range append(records, readers...) {
-		s.awaitMore(r, 20)
+		s.awaitMoreAcks(r, 20)
 		r.resetGap()
 	}
 	b.StartTimer()
@@ -154,12 +156,12 @@
 	server.Kill()
 	s.awaitOtherPrimary(name)
 	for _, r := range append(records, readers...) {
-		s.awaitMore(r, 20)
+		s.awaitMoreAcks(r, 20)
 	}
 	b.StopTimer()
 	stop()
 	stopReaders()
-	s.assertEachOnce(0, records...)
+	s.assertExactlyOnce(0, records...)
 	b.StartTimer()
 	return longestGap(records), longestGap(readers)
 }
@@ -167,19 +169,21 @@
 func (r *record) resetGap() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.gap = 0
+	r.longestGap = 0
 	r.lastAck = time.Now()
 }
 
+// longestGap returns the longest time without an acknowledgement. The callers
+// of the records must have stopped.
 func longestGap(records []*record) time.Duration {
 	var longest time.Duration
 	for _, r := range records {
-		longest = max(longest, r.gap)
+		longest = max(longest, r.longestGap)
 	}
 	return longest
 }
 
-// runReaders reads on every proxy until the returned function is called.
+// runReaders runs one reader on each proxy until the returned function is called.
 func (s *site) runReaders() ([]*record, func()) {
 	return s.runCallers(1, func(stop <-chan struct{}, proxy int, r *record) {
 		ctx := context.Background()
@@ -188,7 +192,7 @@
 			for err == nil && !closed(stop) {
 				var n int
 				err = conn.QueryRow(ctx, "SELECT count(*) FROM entries").Scan(&n)
-				r.note(id, err)
+				r.add(id, err)
 				id++
 				time.Sleep(time.Millisecond)
 			}
@@ -199,6 +203,7 @@
 	})
 }
 
+// report reports the median and the maximum of durations as metrics.
 func report(b *testing.B, name string, durations []time.Duration) {
 	b.Helper()
 	assert.Assert(b, len(durations) > 0)
--- a/integration/leaving_test.go
+++ b/integration/leaving_test.go
@@ -8,28 +8,29 @@
 	"gotest.tools/v3/assert"
 )
 
-// leaveLimit is how long a leaving upstream may still get new work (P7).
+// leaveLimit is the stated time for which an upstream may still get new work
+// after it has announced that it leaves.
 const leaveLimit = 3 * time.Second
 
-// Guards against an upstream that is sent work although it is about to stop,
-// and against callers that suffer from an orderly departure.
+// Guards against an upstream that still gets work after it has announced that it
+// leaves, and against errors for callers when an upstream leaves in this way.
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
-	s := startSite(t, siteOptions{controls: 3, proxies: 3, service: 2 * time.Millisecond})
+	s := startSite(t, siteOptions{controls: 3, proxies: 3, serviceTime: 2 * time.Millisecond})
 	for _, role := range []string{"replica", "primary"} {
-		ok := s.in(role, func(t *testing.T) {
+		ok := s.runSubtest(role, func(t *testing.T) {
 			writers, stop := s.runWriters(2, false)
 			defer stop()
 			readers, stopReaders := s.runReaders()
 			defer stopReaders()
 			records := append(writers, readers...)
 			for _, r := range records {
-				s.awaitMore(r, 5)
+				s.awaitMoreAcks(r, 5)
 			}
 			name, server := s.primary()
 			if role == "replica" {
 				name, server = "diary-3", s.upstreams["diary-3"]
 			}
-			assert.Assert(t, server.Statements() > 0, "%s had no work before", name)
+			assert.Assert(t, server.Statements() > 0, "%s got no statements before it left", name)
 			ctx, cancel := context.WithTimeout(context.Background(), setUpTimeout)
 			defer cancel()
 			assert.NilError(t, server.AnnounceLeaving(ctx))
@@ -39,7 +40,7 @@
 				s.awaitOtherPrimary(name)
 			}
 			for _, r := range records {
-				s.awaitMore(r, 20)
+				s.awaitMoreAcks(r, 20)
 			}
 			stop()
 			stopReaders()
@@ -47,7 +48,7 @@
 			for _, r := range records {
 				assert.Equal(t, len(r.unknown), 0, "unknown outcomes or other errors: %v", r.failures)
 			}
-			s.assertEachOnce(0, writers...)
+			s.assertExactlyOnce(0, writers...)
 		})
 		if !ok {
 			return
--- a/integration/path_test.go
+++ b/integration/path_test.go
@@ -1,6 +1,6 @@
-// Package integration tests whole sites: control and proxy daemons as separate
-// processes before stand-in upstreams, with a fault-injecting proxy between
-// them.
+// Package integration tests whole sites: control hosts and proxies run as
+// separate processes in front of stand-in upstreams, with a fault-injecting
+// proxy on the network links between them.
 package integration
 
 import (
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a path that works in one process only: a write through one
-// proxy is read through another one with the session token.
-func TestWholePath(t *testing.T) {
+// Guards against faults that tests within one process can't show: a write through
+// one proxy is read through another one with the session token.
+func TestWriteIsReadThroughAnotherProxy(t *testing.T) {
 	s := startSite(t, siteOptions{controls: 3, proxies: 2})
 	ctx := context.Background()
 	writer := s.connect(0, "filing")
--- a/integration/process_test.go
+++ b/integration/process_test.go
@@ -15,7 +15,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// binaries holds the daemons that TestMain builds.
+// binaries is the directory of the daemons that TestMain builds.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -40,7 +40,7 @@
 	return m.Run()
 }
 
-// process is a daemon that a test started.
+// process is a daemon that a test runs.
 type process struct {
 	t      testing.TB
 	name   string
@@ -51,7 +51,7 @@
 	exited chan struct{}
 }
 
-// syncBuffer collects the log of a process.
+// syncBuffer collects the log of a process while the test reads it.
 type syncBuffer struct {
 	mu  sync.Mutex // guards buf
 	buf bytes.Buffer
@@ -69,7 +69,8 @@
 	return b.buf.String()
 }
 
-// newProcess prepares a daemon; its log is printed if the test fails.
+// newProcess returns a daemon that is not started yet. It is killed at the end of
+// the test, and the end of its log is printed if the test failed.
 func newProcess(t testing.TB, name, binary string, args ...string) *process {
 	p := &process{t: t, name: name, binary: binary, args: args, log: &syncBuffer{}}
 	t.Cleanup(func() {
@@ -81,6 +82,7 @@
 	return p
 }
 
+// tail returns the last n bytes of a text.
 func tail(text string, n int) string {
 	if len(text) <= n {
 		return text
@@ -119,7 +121,7 @@
 	}
 }
 
-// kill ends the process at once and waits until it has gone.
+// kill sends SIGKILL and waits until the process has exited.
 func (p *process) kill() {
 	if !p.running() {
 		return
@@ -128,31 +130,32 @@
 	<-p.exited
 }
 
-// freeze stops the process from running; thaw lets it go on.
+// freeze suspends the process with SIGSTOP until unfreeze is called.
 func (p *process) freeze() { p.signal(syscall.SIGSTOP) }
 
-func (p *process) thaw() { p.signal(syscall.SIGCONT) }
+func (p *process) unfreeze() { p.signal(syscall.SIGCONT) }
 
 func (p *process) restart() {
 	p.kill()
 	p.start()
 }
 
-// terminate asks for a graceful shutdown and returns the exit code.
+// terminate asks for a graceful shutdown with SIGTERM and returns the exit code.
 func (p *process) terminate(within time.Duration) int {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
 	return p.exitCode(within)
 }
 
-// exitCode waits for the end of the process.
+// exitCode waits for the exit of the process and returns its code. The test fails
+// if the process runs for longer than within.
 func (p *process) exitCode(within time.Duration) int {
 	p.t.Helper()
 	select {
 	case <-p.exited:
 		return p.cmd.ProcessState.ExitCode()
 	case <-time.After(within):
-		p.t.Fatalf("%s has not ended within %s", p.name, within)
+		p.t.Fatalf("%s has not exited within %s", p.name, within)
 		return -1
 	}
 }
--- a/integration/relay_test.go
+++ b/integration/relay_test.go
@@ -13,20 +13,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// relay passes connections on. Toxics act on all connections of a link; a relay
-// can stop delivering on those that are open now while new ones work.
+// relay forwards connections to an address. A toxic affects all connections of a
+// link; a relay can stop delivery on those that are open while new ones work.
 type relay struct {
 	to       string
 	listener net.Listener
 
 	mu    sync.Mutex // guards conns
-	conns []*relayed
+	conns []*relayedConn
 }
 
-// relayed is one connection through a relay.
-type relayed struct {
-	near, far net.Conn
-	silent    atomic.Bool
+// relayedConn is one connection through a relay, as the pair of its two sides.
+type relayedConn struct {
+	client, server net.Conn
+	silent         atomic.Bool
 }
 
 func startRelay(t testing.TB, to string) *relay {
@@ -43,27 +43,27 @@
 
 func (r *relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", r.to)
+		server, err := net.Dial("tcp", r.to)
 		if err != nil {
-			near.Close()
+			client.Close()
 			continue
 		}
-		c := &relayed{near: near, far: far}
+		c := &relayedConn{client: client, server: server}
 		r.mu.Lock()
 		r.conns = append(r.conns, c)
 		r.mu.Unlock()
-		go c.pass(near, far)
-		go c.pass(far, near)
+		go c.forward(client, server)
+		go c.forward(server, client)
 	}
 }
 
-// pass copies until the connection ends. A silent connection neither delivers
-// nor closes.
-func (c *relayed) pass(from, to net.Conn) {
+// forward copies data until one side closes. On a silent connection it
+// discards the data and doesn't pass on the close.
+func (c *relayedConn) forward(from, to net.Conn) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
@@ -97,13 +97,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.conns {
-		c.near.Close()
-		c.far.Close()
+		c.client.Close()
+		c.server.Close()
 	}
 }
 
-// toxic adds a fault to a link and returns a function that removes it.
-func (l *link) toxic(t testing.TB, kind, stream string, attributes map[string]any) (remove func()) {
+// addToxic adds a fault of the fault-injecting proxy to a link and returns a
+// function that removes it.
+func (l *link) addToxic(t testing.TB, kind, stream string, attributes map[string]any) (remove func()) {
 	t.Helper()
 	name := kind + "_" + stream
 	text, err := json.Marshal(map[string]any{"name": name, "type": kind, "stream": stream, "attributes": attributes})
@@ -113,11 +114,11 @@
 	return func() { _ = l.proxy.Toxics.RemoveToxic(context.Background(), name) }
 }
 
-// otherProxy returns the index of a running proxy that is none of the given ones.
-func (s *site) otherProxy(not ...int) int {
+// otherProxy returns the index of a running proxy that is not excluded.
+func (s *site) otherProxy(excluded ...int) int {
 	s.t.Helper()
 	for i, p := range s.proxies {
-		if p.running() && !slices.Contains(not, i) {
+		if p.running() && !slices.Contains(excluded, i) {
 			return i
 		}
 	}
@@ -125,8 +126,9 @@
 	return -1
 }
 
-// in runs f as a subtest on the site.
-func (s *site) in(name string, f func(t *testing.T)) bool {
+// runSubtest runs f as a subtest. Until it ends, the site's helpers report their
+// failures to the subtest.
+func (s *site) runSubtest(name string, f func(t *testing.T)) bool {
 	parent := s.t.(*testing.T)
 	return parent.Run(name, func(t *testing.T) {
 		s.t = t
--- a/integration/resend_test.go
+++ b/integration/resend_test.go
@@ -11,45 +11,45 @@
 	"gotest.tools/v3/assert"
 )
 
-// answered is the answer to an entry that was filed with a request id.
-type answered struct {
+// insertAnswer is the row that an INSERT with a request id returned.
+type insertAnswer struct {
 	id   int
 	note string
 }
 
-// fileWithID files an entry with a request id on a new connection.
-func fileWithID(ctx context.Context, address, request string) (answered, error) {
+// insertWithRequestID inserts an entry with a request id on a new connection.
+func insertWithRequestID(ctx context.Context, address, request string) (insertAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, 15*time.Second)
 	defer cancel()
 	conn, err := dialAt(ctx, address, "diary", "filing")
 	if err != nil {
-		return answered{}, err
+		return insertAnswer{}, err
 	}
 	defer conn.Close(ctx)
 	if _, err := conn.Exec(ctx, "SET lovageslip.request_id = '"+request+"'"); err != nil {
-		return answered{}, err
+		return insertAnswer{}, err
 	}
-	var a answered
+	var a insertAnswer
 	sql := "INSERT INTO entries (note) VALUES ('" + request + "') RETURNING id, note"
 	err = conn.QueryRow(ctx, sql, pgx.QueryExecModeSimpleProtocol).Scan(&a.id, &a.note)
 	return a, err
 }
 
-// resend sends an entry again until it is answered.
-func (s *site) resend(proxy int, request string) answered {
+// resend sends an insert with its request id until it is answered.
+func (s *site) resend(proxy int, request string) insertAnswer {
 	s.t.Helper()
-	var a answered
+	var a insertAnswer
 	s.await("answer to "+request, func(ctx context.Context) error {
 		var err error
-		a, err = fileWithID(ctx, s.callers[proxy], request)
+		a, err = insertWithRequestID(ctx, s.callerAddresses[proxy], request)
 		return err
 	})
 	return a
 }
 
-// Guards against a filing that is sent again after its answer was lost and then
-// runs twice, or gets another answer than the first time.
-func TestFilingResentAfterLostAnswerRunsOnce(t *testing.T) {
+// Guards against an insert that is resent with its request id after its answer
+// was lost, and then runs twice or gets another answer than the first time.
+func TestInsertResentAfterLostAnswerRunsOnce(t *testing.T) {
 	seed := rand.Uint64()
 	t.Logf("seed %d", seed)
 	random := rand.New(rand.NewPCG(seed, 0))
@@ -57,51 +57,52 @@
 	cases := []struct {
 		name  string
 		tries int
-		// lost is true if the caller's link fails before the answer.
-		lost, change bool
+		// loseAnswer cuts the caller's link before the answer arrives;
+		// losePrimary kills the primary before the insert is resent.
+		loseAnswer, losePrimary bool
 	}{
 		{"answered", 3, false, false},
 		{"answer lost", 15, true, false},
 		{"answer lost and primary killed", 2, true, true},
 		{"answered and primary killed", 1, false, true},
 	}
-	first := make(map[string]answered)
+	answers := make(map[string]insertAnswer)
 	for _, c := range cases {
 		for try := range c.tries {
 			request := fmt.Sprintf("%s %d", c.name, try)
-			var a answered
-			if c.lost {
-				s.fileAndLose(request, time.Duration(random.IntN(25))*time.Millisecond)
+			var a insertAnswer
+			if c.loseAnswer {
+				s.insertAndLoseAnswer(request, time.Duration(random.IntN(25))*time.Millisecond)
 			} else {
 				a = s.resend(0, request)
 			}
 			var restart func()
-			if c.change {
+			if c.losePrimary {
 				restart = s.killPrimary()
 			}
 			second := s.resend(1, request)
-			if !c.lost {
+			if !c.loseAnswer {
 				assert.Equal(t, second, a, request)
 			}
-			first[request] = second
+			answers[request] = second
 			if restart != nil {
 				restart()
 			}
 		}
 	}
-	found := s.entries(0)
-	for request, want := range first {
-		assert.Check(t, found[request] == 1, "%s is there %d times", request, found[request])
-		assert.Check(t, s.resend(2, request) == want, "%s has another answer now", request)
+	found := s.entryCounts(0)
+	for request, want := range answers {
+		assert.Check(t, found[request] == 1, "%s is in the table %d times", request, found[request])
+		assert.Check(t, s.resend(2, request) == want, "%s got another answer than before", request)
 	}
 }
 
-// fileAndLose files through a link that delivers the request but no answer, and
-// fails after a moment.
-func (s *site) fileAndLose(request string, after time.Duration) {
+// insertAndLoseAnswer inserts an entry through a link that delivers the
+// request but no answer, and that is cut after a time.
+func (s *site) insertAndLoseAnswer(request string, after time.Duration) {
 	s.t.Helper()
 	name := "caller of " + request
-	address := s.addLink(name, s.callers[0])
+	address := s.addLink(name, s.callerAddresses[0])
 	l := s.links[name]
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	defer cancel()
@@ -109,7 +110,7 @@
 	assert.NilError(s.t, err)
 	_, err = conn.Exec(ctx, "SET lovageslip.request_id = '"+request+"'")
 	assert.NilError(s.t, err)
-	l.toxic(s.t, "timeout", "downstream", map[string]any{"timeout": 0})
+	l.addToxic(s.t, "timeout", "downstream", map[string]any{"timeout": 0})
 	lost := make(chan error)
 	go func() {
 		_, err := conn.Exec(ctx, "INSERT INTO entries (note) VALUES ('"+request+"') RETURNING id, note")
@@ -120,8 +121,9 @@
 	assert.Assert(s.t, <-lost != nil, "the answer was not lost")
 }
 
-// killPrimary waits for a change of primary after a kill. The returned function
-// brings the old primary back as a replica.
+// killPrimary kills the primary and waits for the change of primary. The
+// returned function restarts the old primary and waits until it has caught up
+// as a replica.
 func (s *site) killPrimary() (restart func()) {
 	s.t.Helper()
 	name, server := s.primary()
@@ -133,8 +135,8 @@
 	}
 }
 
-// awaitCaughtUp waits until all upstreams are at the primary's term and have
-// what it has.
+// awaitCaughtUp waits until all upstreams have the primary's term and its present
+// offset.
 func (s *site) awaitCaughtUp() {
 	s.t.Helper()
 	s.await("all upstreams caught up", func(context.Context) error {
--- a/integration/shutdown_test.go
+++ b/integration/shutdown_test.go
@@ -14,80 +14,84 @@
 
 const (
 	shutdownCode = "57P01"
-	// secondSignalExit is the exit code after a second signal.
-	secondSignalExit = 130
+	// secondSignalExitCode is the exit code of a daemon that got a second signal
+	// during its shutdown.
+	secondSignalExitCode = 130
 )
 
-// Guards against a shutdown that cuts off requests or transactions, leaves idle
-// callers hanging, or disturbs callers of other proxies.
+// Guards against a shutdown that cuts off requests or transactions, doesn't close
+// idle connections, or causes errors for callers of other proxies.
 func TestShutdownUnderLoadInterruptsNothing(t *testing.T) {
-	s := startSite(t, siteOptions{controls: 3, proxies: 3, service: 2 * time.Millisecond})
+	s := startSite(t, siteOptions{controls: 3, proxies: 3, serviceTime: 2 * time.Millisecond})
 	ctx, cancel := context.WithTimeout(context.Background(), setUpTimeout)
 	defer cancel()
 	primary, _ := s.primary()
-	victim := s.ownerOf(primary)
+	stopping := s.ownerOf(primary)
 	writers, stop := s.runWriters(3, false)
 	for _, r := range writers {
-		s.awaitMore(r, 5)
+		s.awaitMoreAcks(r, 5)
 	}
-	idle := s.connect(victim, "filing")
-	// A transaction that has not written does not stop the writers.
-	inside := s.connect(victim, "filing")
-	other := s.connect(s.otherProxy(victim), "filing")
-	assert.NilError(t, run(ctx, inside, "BEGIN", "SELECT 1"))
-	assert.NilError(t, run(ctx, other, "BEGIN", "SELECT 1"))
-	s.proxies[victim].signal(syscall.SIGTERM)
+	idle := s.connect(stopping, "filing")
+	// The transactions only read, since one that has written would block the
+	// writers.
+	throughStopping := s.connect(stopping, "filing")
+	throughOther := s.connect(s.otherProxy(stopping), "filing")
+	assert.NilError(t, run(ctx, throughStopping, "BEGIN", "SELECT 1"))
+	assert.NilError(t, run(ctx, throughOther, "BEGIN", "SELECT 1"))
+	s.proxies[stopping].signal(syscall.SIGTERM)
 	var ended error
 	s.await("the end of the idle connection", func(ctx context.Context) error {
 		if ended = run(ctx, idle, "SELECT 1"); ended == nil {
-			return fmt.Errorf("still served")
+			return fmt.Errorf("the idle connection still answers")
 		}
 		return nil
 	})
 	assert.Equal(t, sqlState(ended), shutdownCode, "idle caller: %v", ended)
 	for i := range 20 {
-		// inside entered through the proxy, other uses an upstream that it owns.
-		assert.NilError(t, run(ctx, inside, "SELECT 1"), "statement %d", i)
-		assert.NilError(t, run(ctx, other, "SELECT 1"), "statement %d", i)
+		// throughStopping is connected to the stopping proxy, throughOther
+		// uses an upstream that this proxy owns.
+		assert.NilError(t, run(ctx, throughStopping, "SELECT 1"), "statement %d", i)
+		assert.NilError(t, run(ctx, throughOther, "SELECT 1"), "statement %d", i)
 	}
-	assert.Assert(t, s.proxies[victim].running(), "ended with transactions open")
-	assert.NilError(t, run(ctx, inside, "INSERT INTO entries (note) VALUES ('inside')", "COMMIT"))
-	assert.NilError(t, run(ctx, other, "INSERT INTO entries (note) VALUES ('other')", "COMMIT"))
-	assert.Equal(t, s.proxies[victim].exitCode(setUpTimeout), 0, "exit code")
+	assert.Assert(t, s.proxies[stopping].running(), "the proxy exited although transactions were open")
+	assert.NilError(t, run(ctx, throughStopping, "INSERT INTO entries (note) VALUES ('inside')", "COMMIT"))
+	assert.NilError(t, run(ctx, throughOther, "INSERT INTO entries (note) VALUES ('other')", "COMMIT"))
+	assert.Equal(t, s.proxies[stopping].exitCode(setUpTimeout), 0, "exit code")
 	for i, r := range writers {
-		if i/3 != victim {
-			s.awaitMore(r, 20)
+		if i/3 != stopping {
+			s.awaitMoreAcks(r, 20)
 		}
 	}
 	stop()
-	s.assertOnlyRefused(victim, writers)
-	found := s.entries(s.otherProxy(victim))
+	s.assertOnlyRefused(stopping, writers)
+	found := s.entryCounts(s.otherProxy(stopping))
 	assert.Equal(t, found["inside"]+found["other"], 2, "a transaction that was committed is missing")
-	s.assertEachOnce(s.otherProxy(victim), writers...)
+	s.assertExactlyOnce(s.otherProxy(stopping), writers...)
 }
 
-// assertOnlyRefused checks that callers saw no error but refusals. Callers of
-// the proxy that has ended may see their idle connection end; what they had
-// just sent must not have run.
-func (s *site) assertOnlyRefused(victim int, writers []*record) {
+// assertOnlyRefused checks that callers of other proxies saw no errors except
+// refusals. Callers of the stopped proxy may also have seen their connection
+// close; a write that they sent then must not have run.
+func (s *site) assertOnlyRefused(stopping int, writers []*record) {
 	s.t.Helper()
-	found := s.entries(s.otherProxy(victim))
+	found := s.entryCounts(s.otherProxy(stopping))
 	for i, r := range writers {
-		if i/3 != victim {
+		if i/3 != stopping {
 			assert.Equal(s.t, len(r.unknown), 0, "caller of proxy-%d: %v", i/3+1, r.failures)
 			continue
 		}
 		for _, err := range r.failures {
 			code := sqlState(err)
-			assert.Check(s.t, code == shutdownCode || code == "", "caller of the ended proxy: %v", err)
+			assert.Check(s.t, code == shutdownCode || code == "", "caller of the stopped proxy: %v", err)
 		}
 		for id := range r.unknown {
-			assert.Check(s.t, found[fmt.Sprintf("entry-%d", id)] == 0, "entry-%d ran but its answer was cut off: %v", id, r.failures)
+			assert.Check(s.t, found[fmt.Sprintf("entry-%d", id)] == 0, "entry-%d ran but its caller got no answer: %v", id, r.failures)
 		}
 	}
 }
 
-// Guards against a shutdown that cannot be hurried.
+// Guards against a shutdown that goes on waiting for open transactions after a
+// second signal.
 func TestSecondSignalEndsShutdownAtOnce(t *testing.T) {
 	s := startSite(t, siteOptions{controls: 1, proxies: 1})
 	ctx := context.Background()
@@ -102,10 +106,10 @@
 		return nil
 	})
 	assert.NilError(t, run(ctx, conn, "SELECT 1"))
-	began := time.Now()
-	// The deadline of the settings is 20 s.
-	assert.Equal(t, p.terminate(10*time.Second), secondSignalExit, "exit code")
-	t.Logf("ended %s after the second signal", time.Since(began))
+	signalled := time.Now()
+	// Half of the shutdown deadline of 20 s in the settings.
+	assert.Equal(t, p.terminate(10*time.Second), secondSignalExitCode, "exit code")
+	t.Logf("ended %s after the second signal", time.Since(signalled))
 }
 
 // run executes statements one after the other.
--- a/integration/silent_test.go
+++ b/integration/silent_test.go
@@ -9,15 +9,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// silentLimit bounds the answer of work that was sent on a silent connection.
+// silentLimit is the longest time until the answer to a statement that was
+// sent on a silent connection.
 const silentLimit = 8 * time.Second
 
-// Guards against connections that stay open but deliver nothing, in either
-// direction, while new ones work: their callers must not wait for ever.
+// Guards against callers that wait without limit on a connection that stays
+// open but delivers nothing in either direction, while new connections work.
 func TestSilentConnectionsAreReplaced(t *testing.T) {
 	s := startSite(t, siteOptions{controls: 1, proxies: 2, relays: true})
 	for _, between := range []string{"owner and upstream", "entry and owner"} {
-		s.in(between, func(t *testing.T) {
+		s.runSubtest(between, func(t *testing.T) {
 			primary, _ := s.primary()
 			owner := s.ownerOf(primary)
 			l := s.links[primary]
@@ -26,14 +27,15 @@
 			}
 			entry := s.otherProxy(owner)
 			for _, kind := range []string{"read", "write with a request id", "write"} {
-				s.workOnSilent(l, entry, kind)
+				s.runOnSilentConnection(l, entry, kind)
 			}
 		})
 	}
 }
 
-// workOnSilent runs one statement on connections that have gone silent.
-func (s *site) workOnSilent(l *link, entry int, kind string) {
+// runOnSilentConnection executes one statement after the link's open
+// connections have gone silent.
+func (s *site) runOnSilentConnection(l *link, entry int, kind string) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), setUpTimeout)
 	defer cancel()
@@ -46,7 +48,7 @@
 		assert.NilError(s.t, run(ctx, conn, "SET lovageslip.request_id = '"+note+"'"))
 	}
 	l.relay.silence()
-	began := time.Now()
+	start := time.Now()
 	sql := "INSERT INTO entries (note) VALUES ('" + note + "')"
 	if kind == "read" {
 		sql = "SELECT count(*) FROM entries"
@@ -54,16 +56,17 @@
 	limited, stop := context.WithTimeout(ctx, 2*silentLimit)
 	defer stop()
 	err := run(limited, conn, sql)
-	took := time.Since(began)
+	took := time.Since(start)
 	s.t.Logf("%s: %v after %s", kind, err, took)
 	assert.Check(s.t, took < silentLimit, "%s took %s", kind, took)
 	if kind != "write" {
 		assert.Check(s.t, err, "%s on a silent connection", kind)
 		return
 	}
-	// A new connection may have taken the write; else its outcome is unknown.
+	// The write may have been sent on a new connection; otherwise it was not
+	// run or its outcome is unknown.
 	assert.Check(s.t, err == nil || sqlState(err) == unknownCode || sqlState(err) == notRunCode, "write: %v", err)
 	if sqlState(err) == notRunCode {
-		assert.Equal(s.t, s.entries(entry)[note], 0, "a write that was not run is there")
+		assert.Equal(s.t, s.entryCounts(entry)[note], 0, "a write that was reported as not run is in the table")
 	}
 }
--- a/integration/site_test.go
+++ b/integration/site_test.go
@@ -25,58 +25,61 @@
 	"lovageslip/tlsconf"
 )
 
-// setUpTimeout bounds the start of a whole site on a busy machine.
+// setUpTimeout limits each wait for a state of the site. It is long enough for
+// the start of a whole site on a busy machine.
 const setUpTimeout = 60 * time.Second
 
-// siteOptions shapes a site. Zero fields take small defaults.
+// siteOptions configures startSite. Zero fields get the defaults of setDefaults.
 type siteOptions struct {
-	controls  int
-	proxies   int
-	databases []string
-	lag       time.Duration
-	service   time.Duration
-	slots     int
-	// places are the data centres that hosts and upstreams are spread over.
-	places  []string
-	classes []class.Class
-	// relays puts a relay before each link.
+	controls    int
+	proxies     int
+	databases   []string
+	lag         time.Duration
+	serviceTime time.Duration
+	slots       int
+	// dataCentres are the data centres that hosts and upstreams are spread over.
+	dataCentres []string
+	classes     []class.Class
+	// relays puts a relay in front of each link, whose connections a test can
+	// silence.
 	relays bool
 }
 
-// site is a set of control and proxy processes before stand-in upstreams that
-// run in the test's process. The links to upstreams, to proxies from other
-// hosts and to control hosts from proxies pass through a fault-injecting proxy.
+// site is a set of control and proxy processes in front of stand-in upstreams
+// that run in the test's process. Connections to upstreams, from other hosts
+// to proxies and from proxies to control hosts pass through a fault-injecting
+// proxy.
 type site struct {
-	t         testing.TB
-	dir       string
-	options   siteOptions
-	links     map[string]*link
-	controls  []*process
-	proxies   []*process
-	callers   []string // addresses for callers, by proxy
-	metrics   []string // addresses for metrics and health, by proxy
-	upstreams map[string]*standin.Server
-	direct    []string // addresses of the control hosts without a link
-	admin     *admin.Client
-	toxi      *toxiproxy.ApiServer
+	t                testing.TB
+	dir              string
+	options          siteOptions
+	links            map[string]*link
+	controls         []*process
+	proxies          []*process
+	callerAddresses  []string // addresses for callers, by proxy
+	metricsAddresses []string // addresses for metrics and health, by proxy
+	upstreams        map[string]*standin.Server
+	controlAddresses []string // addresses of the control hosts, not through a link
+	admin            *admin.Client
+	toxiproxyServer  *toxiproxy.ApiServer
 }
 
-// link is one address behind the fault-injecting proxy.
+// link is an address whose connections pass through the fault-injecting proxy.
 type link struct {
 	proxy *toxiproxy.Proxy
 	relay *relay // nil without siteOptions.relays
 }
 
-// cut drops all connections and refuses new ones.
+// cut closes all connections of the link and refuses new ones.
 func (l *link) cut() { l.proxy.Stop() }
 
-// heal lets connections through again.
+// heal accepts connections again after cut.
 func (l *link) heal(t testing.TB) {
 	t.Helper()
 	assert.NilError(t, l.proxy.Start())
 }
 
-func (o *siteOptions) fill() {
+func (o *siteOptions) setDefaults() {
 	if o.controls == 0 {
 		o.controls = 1
 	}
@@ -89,8 +92,8 @@
 	if o.slots == 0 {
 		o.slots = 5
 	}
-	if o.places == nil {
-		o.places = []string{"luzon"}
+	if o.dataCentres == nil {
+		o.dataCentres = []string{"luzon"}
 	}
 	if o.classes == nil {
 		o.classes = []class.Class{
@@ -101,11 +104,11 @@
 	}
 }
 
-// startSite starts a site and returns once every upstream has an owner, every
-// group a primary, and the classes are in force on every proxy.
+// startSite starts a site. It returns when every upstream has an owner, every
+// group has a primary and every proxy accepts writes of the class filing.
 func startSite(t testing.TB, options siteOptions) *site {
 	t.Helper()
-	options.fill()
+	options.setDefaults()
 	s := &site{t: t, dir: t.TempDir(), options: options, links: make(map[string]*link), upstreams: make(map[string]*standin.Server)}
 	key := base64.StdEncoding.EncodeToString([]byte(strings.Repeat("k", 32)))
 	s.write("session.key", "1 "+key+"\n")
@@ -123,8 +126,8 @@
 	return path
 }
 
-// Ports below the range from which the system takes the ports of outgoing
-// connections. A port from that range may be taken between the look and its use.
+// Range of the ports that tests listen on. It lies below the system's range for
+// outgoing connections, from which a free port may be taken before it is used.
 const (
 	firstPort = 10000
 	ports     = 20000
@@ -134,7 +137,8 @@
 
 func init() { nextPort.Store(rand.Uint32N(ports)) }
 
-// freeAddress returns a loopback address that was free a moment ago.
+// freeAddress returns a loopback address that no process listened on when it was
+// tried.
 func (s *site) freeAddress() string {
 	s.t.Helper()
 	for range ports {
@@ -150,14 +154,14 @@
 	return ""
 }
 
-// addLink puts the fault-injecting proxy before an address and returns the
-// address to use instead.
+// addLink puts the fault-injecting proxy in front of the address to, and returns
+// the address to connect to instead.
 func (s *site) addLink(name, to string) string {
 	s.t.Helper()
-	if s.toxi == nil {
-		s.toxi = toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
+	if s.toxiproxyServer == nil {
+		s.toxiproxyServer = toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())
 	}
-	proxy := toxiproxy.NewProxy(s.toxi, name, s.freeAddress(), to)
+	proxy := toxiproxy.NewProxy(s.toxiproxyServer, name, s.freeAddress(), to)
 	assert.NilError(s.t, proxy.Start())
 	s.t.Cleanup(proxy.Stop)
 	l := &link{proxy: proxy}
@@ -169,20 +173,20 @@
 	return l.relay.address()
 }
 
-func (s *site) place(i int) string { return s.options.places[i%len(s.options.places)] }
+func (s *site) dataCentre(i int) string { return s.options.dataCentres[i%len(s.options.dataCentres)] }
 
 func (s *site) startControls() {
 	s.t.Helper()
 	var members []string
 	for i := range s.options.controls {
-		s.direct = append(s.direct, s.freeAddress())
-		members = append(members, fmt.Sprintf("control-%d=%s", i+1, s.direct[i]))
+		s.controlAddresses = append(s.controlAddresses, s.freeAddress())
+		members = append(members, fmt.Sprintf("control-%d=%s", i+1, s.controlAddresses[i]))
 	}
 	for i := range s.options.controls {
 		s.controls = append(s.controls, s.newControl(i, strings.Join(members, ", ")))
 		s.controls[i].start()
 	}
-	s.admin = admin.New(tlsconf.HTTPClient(nil), s.direct)
+	s.admin = admin.New(tlsconf.HTTPClient(nil), s.controlAddresses)
 }
 
 func (s *site) newControl(i int, members string) *process {
@@ -190,7 +194,7 @@
 	name := fmt.Sprintf("control-%d", i+1)
 	file := s.write(name+".ini", fmt.Sprintf(
 		"[host]\nrole = control\nname = %s\ndata_centre = %s\n[listen]\nhosts = %s\n[control]\nmembers = %s\ndata = %s\n",
-		name, s.place(i), s.direct[i], members, name))
+		name, s.dataCentre(i), s.controlAddresses[i], members, name))
 	return newProcess(s.t, name, "lovageslip-control", file)
 }
 
@@ -201,15 +205,15 @@
 		callers, hosts, metrics := s.freeAddress(), s.freeAddress(), s.freeAddress()
 		advertise := s.addLink(name, hosts)
 		var control []string
-		for c, address := range s.direct {
+		for c, address := range s.controlAddresses {
 			control = append(control, s.addLink(fmt.Sprintf("%s to control-%d", name, c+1), address))
 		}
 		file := s.write(name+".ini", fmt.Sprintf(
 			"[host]\nrole = proxy\nname = %s\ndata_centre = %s\n[listen]\ncallers = %s\nhosts = %s\nadvertise = %s\nmetrics = %s\n"+
 				"[control]\nhosts = %s\n[session]\nkey_file = session.key\n[shutdown]\ndeadline = 20s\n",
-			name, s.place(i), callers, hosts, advertise, metrics, strings.Join(control, ", ")))
-		s.callers = append(s.callers, callers)
-		s.metrics = append(s.metrics, metrics)
+			name, s.dataCentre(i), callers, hosts, advertise, metrics, strings.Join(control, ", ")))
+		s.callerAddresses = append(s.callerAddresses, callers)
+		s.metricsAddresses = append(s.metricsAddresses, metrics)
 		s.proxies = append(s.proxies, newProcess(s.t, name, "lovageslip-proxy", file))
 		s.proxies[i].start()
 	}
@@ -226,8 +230,8 @@
 			address := s.freeAddress()
 			advertise := s.addLink(name, address)
 			server, err := standin.Start(standin.Options{
-				Name: name, Database: database, DataCentre: s.place(i), Address: address, Advertise: advertise,
-				Primary: primary, Lag: s.options.lag, ServiceTime: s.options.service, Slots: s.options.slots,
+				Name: name, Database: database, DataCentre: s.dataCentre(i), Address: address, Advertise: advertise,
+				Primary: primary, Lag: s.options.lag, ServiceTime: s.options.serviceTime, Slots: s.options.slots,
 				MaxConnections: 70, AnnounceTo: s.announceTo(),
 			})
 			assert.NilError(s.t, err)
@@ -242,7 +246,7 @@
 
 func (s *site) announceTo() []string {
 	var urls []string
-	for _, address := range s.direct {
+	for _, address := range s.controlAddresses {
 		urls = append(urls, "http://"+address)
 	}
 	return urls
@@ -262,15 +266,16 @@
 		if err != nil {
 			return err
 		}
-		return s.settled(status)
+		return s.checkReady(status)
 	})
 	for i := range s.proxies {
 		s.awaitServing(i)
 	}
 }
 
-// settled returns an error that says what is missing.
-func (s *site) settled(status *lovageslipv1.StatusResponse) error {
+// checkReady returns an error unless each upstream has an owner and each group a
+// primary and all of its members.
+func (s *site) checkReady(status *lovageslipv1.StatusResponse) error {
 	owned, primaries := 0, 0
 	for _, u := range status.GetUpstreams() {
 		if u.GetOwner() != "" {
@@ -289,8 +294,8 @@
 	return nil
 }
 
-// awaitServing waits until a proxy answers a read and a write statement of
-// each database.
+// awaitServing waits until a proxy executes a write on each database. The write
+// creates the table entries, unless it exists.
 func (s *site) awaitServing(proxy int) {
 	s.t.Helper()
 	for _, database := range s.options.databases {
@@ -306,8 +311,8 @@
 	}
 }
 
-// await repeats f until it succeeds.
-func (s *site) await(what string, f func(context.Context) error) {
+// await calls f until it returns no error. The test fails after setUpTimeout.
+func (s *site) await(description string, f func(context.Context) error) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), setUpTimeout)
 	defer cancel()
@@ -318,15 +323,15 @@
 		}
 		select {
 		case <-ctx.Done():
-			s.t.Fatalf("%s: not within %s: %v", what, setUpTimeout, err)
+			s.t.Fatalf("%s: not reached within %s, last error: %v", description, setUpTimeout, err)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// dial connects a caller of a class to a proxy.
+// dial connects to a proxy as a caller of a class.
 func (s *site) dial(ctx context.Context, proxy int, database, class string) (*pgx.Conn, error) {
-	return dialAt(ctx, s.callers[proxy], database, class)
+	return dialAt(ctx, s.callerAddresses[proxy], database, class)
 }
 
 func dialAt(ctx context.Context, address, database, class string) (*pgx.Conn, error) {
@@ -334,7 +339,8 @@
 		address, database, class))
 }
 
-// connect is dial for callers that must succeed.
+// connect dials a proxy for the first database. It fails the test on an error,
+// and closes the connection at the end of the test.
 func (s *site) connect(proxy int, class string) *pgx.Conn {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), setUpTimeout)
@@ -349,7 +355,7 @@
 	return conn
 }
 
-// group returns the control state of a database.
+// group returns the group of a database as the control hosts report it.
 func (s *site) group(database string) *lovageslipv1.Group {
 	s.t.Helper()
 	var found *lovageslipv1.Group
--- a/integration/throughput_test.go
+++ b/integration/throughput_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	throughputCallers = 64
-	throughputTime    = 3 * time.Second
+	throughputCallers  = 64
+	throughputDuration = 3 * time.Second
 )
 
-// BenchmarkProxiedAgainstDirect compares one-row reads of 64 callers through a
-// proxy with the same reads directly at one upstream, in one run: through the
-// proxy that owns the upstream ("local") and through another one ("forwarded").
-// Callers use one upstream's worth of slots in both cases.
+// BenchmarkProxiedAgainstDirect compares one-row reads of 64 callers directly
+// at one upstream with the same reads through the proxy that owns the upstream
+// ("local") and through another proxy ("forwarded"), in one run. In all cases
+// the callers use the slots of one upstream.
 func BenchmarkProxiedAgainstDirect(b *testing.B) {
 	for _, service := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond} {
 		b.Run(fmt.Sprintf("service=%s", service), func(b *testing.B) { compareDirect(b, service) })
@@ -28,31 +28,31 @@
 }
 
 func compareDirect(b *testing.B, service time.Duration) {
-	s := startSite(b, siteOptions{proxies: 2, service: service})
+	s := startSite(b, siteOptions{proxies: 2, serviceTime: service})
 	name, server := s.primary()
-	local := s.ownerOf(name)
-	direct := fmt.Sprintf("postgres://caller@%s/diary?sslmode=disable", server.Address())
-	proxied := func(proxy int) string {
-		return fmt.Sprintf("postgres://caller@%s/diary?sslmode=disable&lovageslip.class=filing", s.callers[proxy])
+	owner := s.ownerOf(name)
+	directURL := fmt.Sprintf("postgres://caller@%s/diary?sslmode=disable", server.Address())
+	proxiedURL := func(proxy int) string {
+		return fmt.Sprintf("postgres://caller@%s/diary?sslmode=disable&lovageslip.class=filing", s.callerAddresses[proxy])
 	}
 	for range b.N {
-		base := readFor(b, direct)
-		near := readFor(b, proxied(local))
-		far := readFor(b, proxied(1-local))
-		b.ReportMetric(near.rate()/base.rate(), "local-ratio")
-		b.ReportMetric(far.rate()/base.rate(), "forwarded-ratio")
-		b.ReportMetric(base.rate(), "direct/s")
-		b.ReportMetric(near.rate(), "local/s")
-		b.ReportMetric(far.rate(), "forwarded/s")
+		direct := readConcurrently(b, directURL)
+		local := readConcurrently(b, proxiedURL(owner))
+		forwarded := readConcurrently(b, proxiedURL(1-owner))
+		b.ReportMetric(local.rate()/direct.rate(), "local-ratio")
+		b.ReportMetric(forwarded.rate()/direct.rate(), "forwarded-ratio")
+		b.ReportMetric(direct.rate(), "direct/s")
+		b.ReportMetric(local.rate(), "local/s")
+		b.ReportMetric(forwarded.rate(), "forwarded/s")
 	}
-	base, near, far := readAlone(b, direct), readAlone(b, proxied(local)), readAlone(b, proxied(1-local))
+	direct, local, forwarded := readAsSingleCaller(b, directURL), readAsSingleCaller(b, proxiedURL(owner)), readAsSingleCaller(b, proxiedURL(1-owner))
 	for _, quantile := range []float64{50, 99} {
-		b.ReportMetric(near.at(quantile)-base.at(quantile), fmt.Sprintf("local-added-p%.0f-µs", quantile))
-		b.ReportMetric(far.at(quantile)-base.at(quantile), fmt.Sprintf("forwarded-added-p%.0f-µs", quantile))
+		b.ReportMetric(local.quantileMicros(quantile)-direct.quantileMicros(quantile), fmt.Sprintf("local-added-p%.0f-µs", quantile))
+		b.ReportMetric(forwarded.quantileMicros(quantile)-direct.quantileMicros(quantile), fmt.Sprintf("forwarded-added-p%.0f-µs", quantile))
 	}
 }
 
-// ownerOf returns the proxy that owns an upstream.
+// ownerOf returns the index of the proxy that owns an upstream.
 func (s *site) ownerOf(name string) int {
 	s.t.Helper()
 	owner := -1
@@ -72,32 +72,34 @@
 	return owner
 }
 
-// readings are the latencies of reads, in microseconds.
-type readings struct {
+// latencies holds the latencies of reads, in nanoseconds, and the time that the
+// reads took together.
+type latencies struct {
 	histogram *hdrhistogram.Histogram
 	elapsed   time.Duration
 }
 
-func (r readings) rate() float64 { return float64(r.histogram.TotalCount()) / r.elapsed.Seconds() }
+func (r latencies) rate() float64 { return float64(r.histogram.TotalCount()) / r.elapsed.Seconds() }
 
-func (r readings) at(quantile float64) float64 {
+func (r latencies) quantileMicros(quantile float64) float64 {
 	return float64(r.histogram.ValueAtQuantile(quantile)) / float64(time.Microsecond)
 }
 
-func newReadings() readings {
-	return readings{histogram: hdrhistogram.New(1, int64(time.Minute), 3)}
+func newLatencies() latencies {
+	return latencies{histogram: hdrhistogram.New(1, int64(time.Minute), 3)}
 }
 
-// readFor lets 64 callers read one row each, one after the other.
-func readFor(b *testing.B, url string) readings {
+// readConcurrently runs throughputCallers callers at the same time. Each sends
+// its reads one after the other.
+func readConcurrently(b *testing.B, url string) latencies {
 	b.Helper()
-	all := newReadings()
+	all := newLatencies()
 	var mu sync.Mutex // guards all.histogram
 	var done sync.WaitGroup
 	start := time.Now()
 	for range throughputCallers {
 		done.Go(func() {
-			one := readOneCaller(b, url, start.Add(throughputTime))
+			one := readUntil(b, url, start.Add(throughputDuration))
 			mu.Lock()
 			defer mu.Unlock()
 			all.histogram.Merge(one.histogram)
@@ -108,15 +110,17 @@
 	return all
 }
 
-// readAlone reads with a single caller, so that nothing queues.
-func readAlone(b *testing.B, url string) readings {
+// readAsSingleCaller reads with a single caller, so that no request waits in a
+// queue.
+func readAsSingleCaller(b *testing.B, url string) latencies {
 	b.Helper()
-	return readOneCaller(b, url, time.Now().Add(throughputTime))
+	return readUntil(b, url, time.Now().Add(throughputDuration))
 }
 
-func readOneCaller(b *testing.B, url string, until time.Time) readings {
+// readUntil sends reads on one connection until the given time.
+func readUntil(b *testing.B, url string, until time.Time) latencies {
 	ctx := context.Background()
-	r := newReadings()
+	r := newLatencies()
 	conn, err := pgx.Connect(ctx, url)
 	if !assert.Check(b, err) {
 		return r
--- a/integration/token_test.go
+++ b/integration/token_test.go
@@ -17,8 +17,9 @@
 
 const badTokenCode = "28L01"
 
-// fileForToken files an entry and returns the session token.
-func (s *site) fileForToken(conn *pgx.Conn, note string) string {
+// insertForToken inserts an entry and returns the session token that came with
+// the commit.
+func (s *site) insertForToken(conn *pgx.Conn, note string) string {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	defer cancel()
@@ -35,68 +36,71 @@
 	return n, err
 }
 
-// Guards against reads that miss the session's own write on another proxy while
+// Guards against reads on another proxy that miss the session's own write while
 // replicas lag, and against answers that are older than the class allows.
-func TestTokenCarriedWhileReplicasLag(t *testing.T) {
-	s := startSite(t, siteOptions{controls: 1, proxies: 3, places: []string{"luzon", "visayas", "mindanao"}})
-	// Only the replica next to the reading proxy lags. The other one confirms
-	// commits at once, so that the session reads before the lag has passed, but
-	// is too far away to be read from without need.
+func TestReadsWithTokenWhileReplicasLag(t *testing.T) {
+	s := startSite(t, siteOptions{controls: 1, proxies: 3, dataCentres: []string{"luzon", "visayas", "mindanao"}})
+	// Only the replica in the reading proxy's data centre lags. The other one
+	// confirms commits at once, so that the reads below begin before the lag has
+	// passed; 30 ms of latency keep the proxy from reading there without need.
 	s.upstreams["diary-2"].SetLag(2 * time.Second)
-	s.links["proxy-3"].toxic(t, "latency", "downstream", map[string]any{"latency": 30})
+	s.links["proxy-3"].addToxic(t, "latency", "downstream", map[string]any{"latency": 30})
 	ctx := context.Background()
-	writer, with, without, fresh := s.connect(0, "filing"), s.connect(1, "reading"), s.connect(1, "reading"), s.connect(1, "reviewing")
-	filed := make(map[string]time.Time)
-	old := 0
+	writer, withToken, withoutToken, reviewer := s.connect(0, "filing"), s.connect(1, "reading"), s.connect(1, "reading"), s.connect(1, "reviewing")
+	insertedAt := make(map[string]time.Time)
+	staleReads := 0
 	for i := range 30 {
 		note := fmt.Sprintf("lag %d", i)
-		token := s.fileForToken(writer, note)
-		filed[note] = time.Now()
-		// Without a token first: a refused read with one makes the router avoid
-		// the lagging replica.
-		n, err := countNote(ctx, without, note)
+		token := s.insertForToken(writer, note)
+		insertedAt[note] = time.Now()
+		// The read without a token comes first, because the router avoids the
+		// lagging replica after it has refused a read with a token.
+		n, err := countNote(ctx, withoutToken, note)
 		assert.NilError(t, err)
-		old += 1 - n
-		_, err = with.Exec(ctx, "SET lovageslip.session = '"+token+"'")
+		staleReads += 1 - n
+		_, err = withToken.Exec(ctx, "SET lovageslip.session = '"+token+"'")
 		assert.NilError(t, err)
-		n, err = countNote(ctx, with, note)
+		n, err = countNote(ctx, withToken, note)
 		assert.NilError(t, err)
-		assert.Equal(t, n, 1, "%s: a read with the token misses the write", note)
-		s.checkAge(fresh, filed, time.Second)
+		assert.Equal(t, n, 1, "%s: a read with the session token misses the write", note)
+		s.checkMaxAge(reviewer, insertedAt, time.Second)
 		time.Sleep(50 * time.Millisecond)
 	}
-	assert.Assert(t, old > 0, "no answer was old, so the reads with the token prove nothing")
+	assert.Assert(t, staleReads > 0, "no read without a token was stale, so the reads with a token prove nothing")
 }
 
-// checkAge fails if an answer lacks what was filed longer ago than age.
-func (s *site) checkAge(conn *pgx.Conn, filed map[string]time.Time, age time.Duration) {
+// checkMaxAge reads all entries and fails the test if one that was inserted
+// longer ago than age is missing.
+func (s *site) checkMaxAge(conn *pgx.Conn, insertedAt map[string]time.Time, age time.Duration) {
 	s.t.Helper()
 	asked := time.Now()
 	rows, err := conn.Query(context.Background(), "SELECT note FROM entries")
 	assert.NilError(s.t, err)
 	notes, err := pgx.CollectRows(rows, pgx.RowTo[string])
 	assert.NilError(s.t, err)
-	have := strings.Join(notes, "\n") + "\n"
-	for note, at := range filed {
+	answer := strings.Join(notes, "\n") + "\n"
+	for note, at := range insertedAt {
 		if asked.Sub(at) > age {
-			assert.Check(s.t, strings.Contains(have, note+"\n"), "%s was filed %s ago and is missing", note, asked.Sub(at))
+			assert.Check(s.t, strings.Contains(answer, note+"\n"), "%s was inserted %s ago and is missing", note, asked.Sub(at))
 		}
 	}
 }
 
-// Guards against a read after a change of primary that misses the session's
-// write because replicas lagged when the old primary was lost.
-func TestTokenHoldsAcrossChangeOfPrimary(t *testing.T) {
+// Guards against a read with the session token that misses the session's write
+// after a change of primary, because replicas lagged when the old primary was
+// lost.
+func TestReadsWithTokenAcrossChangeOfPrimary(t *testing.T) {
 	s := startSite(t, siteOptions{controls: 1, proxies: 2, lag: 100 * time.Millisecond})
 	for i := range 2 {
 		note := fmt.Sprintf("change %d", i)
-		token := s.fileForToken(s.connect(0, "filing"), note)
+		token := s.insertForToken(s.connect(0, "filing"), note)
 		name, server := s.primary()
 		server.Kill()
-		// The read may be refused for a while, but must never miss the write.
+		// Reads may be refused during the change of primary, but must never miss
+		// the write.
 		end := time.Now().Add(setUpTimeout)
 		for changed, answered := false, 0; !changed || answered < 20; {
-			assert.Assert(t, time.Now().Before(end), "the session's read is still refused")
+			assert.Assert(t, time.Now().Before(end), "reads with the session token are still refused")
 			n, err := s.readWithToken(1, token, note)
 			if err == nil {
 				assert.Equal(t, n, 1, "a read with the token misses the write")
@@ -127,15 +131,16 @@
 	return countNote(ctx, conn, note)
 }
 
-// Guards against tokens that somebody else made or that were damaged on the way.
+// Guards against session tokens that are accepted although they were signed with
+// another key, belong to another database, or were damaged.
 func TestForgedAndDamagedTokensAreRefused(t *testing.T) {
 	s := startSite(t, siteOptions{controls: 1, proxies: 2})
-	token := s.fileForToken(s.connect(0, "filing"), "token")
+	token := s.insertForToken(s.connect(0, "filing"), "token")
 	forger, err := session.NewSigner(session.Key{ID: 1, Secret: []byte(strings.Repeat("f", 32))})
 	assert.NilError(t, err)
 	genuine, err := session.NewSigner(session.Key{ID: 1, Secret: []byte(strings.Repeat("k", 32))})
 	assert.NilError(t, err)
-	bad := map[string]string{
+	badTokens := map[string]string{
 		"forged":                forger.Sign("diary", upstream.Position{Term: 1, Offset: 1}),
 		"of another database":   genuine.Sign("ledger", upstream.Position{Term: 1, Offset: 1}),
 		"cut short":             token[:len(token)-2],
@@ -148,15 +153,15 @@
 		if token[i] == 'A' {
 			other = "B"
 		}
-		bad[fmt.Sprintf("changed at %d", i)] = token[:i] + other + token[i+1:]
+		badTokens[fmt.Sprintf("changed at %d", i)] = token[:i] + other + token[i+1:]
 	}
 	conn := s.connect(1, "reading")
-	for name, text := range bad {
+	for name, text := range badTokens {
 		_, err := conn.Exec(context.Background(), "SET lovageslip.session = '"+text+"'")
 		assert.Check(t, sqlState(err) == badTokenCode, "%s: %v", name, err)
 	}
 	_, err = pgx.Connect(context.Background(), fmt.Sprintf(
-		"postgres://caller@%s/diary?sslmode=disable&lovageslip.class=reading&lovageslip.session=%s", s.callers[1], bad["forged"]))
+		"postgres://caller@%s/diary?sslmode=disable&lovageslip.class=reading&lovageslip.session=%s", s.callerAddresses[1], badTokens["forged"]))
 	assert.Equal(t, sqlState(err), badTokenCode, "%v", err)
 	_, err = conn.Exec(context.Background(), "SET lovageslip.session = '"+token+"'")
 	assert.NilError(t, err)
--- a/integration/writer_test.go
+++ b/integration/writer_test.go
@@ -27,45 +27,45 @@
 	return ""
 }
 
-// record is what a writer knows of its writes.
+// record holds the answers that one caller got to its statements, by entry id.
 type record struct {
 	mu      sync.Mutex // guards all fields
 	acked   map[int]bool
 	notRun  map[int]bool
 	unknown map[int]bool
-	// failures are the errors behind unknown, refusal is the last one behind
-	// notRun.
-	failures []error
-	refusal  error
-	// gap is the longest time between two acknowledgements, lastAck the
+	// failures are the errors of the statements in unknown, lastRefusal is the
+	// last error of those in notRun.
+	failures    []error
+	lastRefusal error
+	// longestGap is the longest time between two acknowledgements, lastAck the
 	// time of the last one.
-	gap     time.Duration
-	lastAck time.Time
+	longestGap time.Duration
+	lastAck    time.Time
 }
 
 func newRecord() *record {
 	return &record{acked: map[int]bool{}, notRun: map[int]bool{}, unknown: map[int]bool{}, lastAck: time.Now()}
 }
 
-func (r *record) note(id int, err error) {
+func (r *record) add(id int, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case err == nil:
 		r.acked[id] = true
-		r.gap = max(r.gap, time.Since(r.lastAck))
+		r.longestGap = max(r.longestGap, time.Since(r.lastAck))
 		r.lastAck = time.Now()
 	case sqlState(err) == notRunCode:
 		r.notRun[id] = true
-		r.refusal = err
+		r.lastRefusal = err
 	default:
 		r.unknown[id] = true
 		r.failures = append(r.failures, err)
 	}
 }
 
-// troubles says what a writer was told instead of an acknowledgement.
-func (r *record) troubles() string {
+// failureSummary describes the answers that were no acknowledgements.
+func (r *record) failureSummary() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last := error(nil)
@@ -73,20 +73,20 @@
 		last = r.failures[len(r.failures)-1]
 	}
 	return fmt.Sprintf("%d not run, the last with: %v; %d of unknown outcome, the last with: %v",
-		len(r.notRun), r.refusal, len(r.failures), last)
+		len(r.notRun), r.lastRefusal, len(r.failures), last)
 }
 
-func (r *record) count() int {
+func (r *record) ackCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.acked)
 }
 
-// nextID gives each write of a test its own id.
+// nextID numbers the entries, so that each has an id of its own.
 var nextID atomic.Int64
 
-// writeUntil files entries, one after the other, until stop is closed. With
-// request ids a write whose outcome is unknown is sent again until it is known.
+// writeUntil inserts entries, one after the other, until stop is closed. With
+// request ids, an insert that failed is resent until it is acknowledged.
 func (s *site) writeUntil(stop <-chan struct{}, proxy int, requestIDs bool, r *record) {
 	ctx := context.Background()
 	var conn *pgx.Conn
@@ -99,8 +99,8 @@
 				continue
 			}
 		}
-		err := file(ctx, conn, id, requestIDs)
-		r.note(id, err)
+		err := insertEntry(ctx, conn, id, requestIDs)
+		r.add(id, err)
 		if err == nil || !requestIDs {
 			id = int(nextID.Add(1))
 		}
@@ -108,7 +108,7 @@
 	}
 }
 
-func file(ctx context.Context, conn *pgx.Conn, id int, requestID bool) error {
+func insertEntry(ctx context.Context, conn *pgx.Conn, id int, requestID bool) error {
 	ctx, cancel := context.WithTimeout(ctx, 15*time.Second)
 	defer cancel()
 	if requestID {
@@ -120,30 +120,31 @@
 	return err
 }
 
-// assertEachOnce checks the table against what writers were told: every
-// acknowledged write is there once, no write that was not run is there, and
-// nothing is there twice.
-func (s *site) assertEachOnce(proxy int, records ...*record) {
+// assertExactlyOnce compares the table with the answers that writers got: it
+// must hold every acknowledged entry once, no entry that was reported as not
+// run, and no entry twice.
+func (s *site) assertExactlyOnce(proxy int, records ...*record) {
 	s.t.Helper()
-	found := s.entries(proxy)
+	found := s.entryCounts(proxy)
 	for note, n := range found {
-		assert.Check(s.t, n == 1, "%s is there %d times", note, n)
+		assert.Check(s.t, n == 1, "%s is in the table %d times", note, n)
 	}
 	for _, r := range records {
 		for id := range r.acked {
-			assert.Check(s.t, found[fmt.Sprintf("entry-%d", id)] == 1, "acknowledged entry-%d is there %d times", id, found[fmt.Sprintf("entry-%d", id)])
+			assert.Check(s.t, found[fmt.Sprintf("entry-%d", id)] == 1, "acknowledged entry-%d is in the table %d times", id, found[fmt.Sprintf("entry-%d", id)])
 		}
 		for id := range r.notRun {
 			if r.acked[id] || r.unknown[id] {
-				continue // sent again after it was not run
+				continue // the entry was resent
 			}
-			assert.Check(s.t, found[fmt.Sprintf("entry-%d", id)] == 0, "entry-%d was reported as not run", id)
+			assert.Check(s.t, found[fmt.Sprintf("entry-%d", id)] == 0, "entry-%d was reported as not run but is in the table", id)
 		}
 	}
 }
 
-// entries returns how often each note is in the table, read from the primary.
-func (s *site) entries(proxy int) map[string]int {
+// entryCounts returns how often each note is in the table. It reads through a
+// proxy with the class filing, whose reads run at the primary.
+func (s *site) entryCounts(proxy int) map[string]int {
 	s.t.Helper()
 	found := make(map[string]int)
 	s.await("reading all entries", func(ctx context.Context) error {
@@ -166,19 +167,20 @@
 	return found
 }
 
-// awaitMore waits until a record has n acknowledgements more than now.
-func (s *site) awaitMore(r *record, n int) {
+// awaitMoreAcks waits until a record has n more acknowledgements than at the
+// call.
+func (s *site) awaitMoreAcks(r *record, n int) {
 	s.t.Helper()
-	want := r.count() + n
-	s.await(fmt.Sprintf("%d more acknowledged writes", n), func(context.Context) error {
-		if got := r.count(); got < want {
-			return fmt.Errorf("%d acknowledged so far; %s", got, r.troubles())
+	want := r.ackCount() + n
+	s.await(fmt.Sprintf("%d more acknowledged statements", n), func(context.Context) error {
+		if got := r.ackCount(); got < want {
+			return fmt.Errorf("%d acknowledged so far; %s", got, r.failureSummary())
 		}
 		return nil
 	})
 }
 
-// runWriters files entries on all proxies until the returned function is
+// runWriters inserts entries through all proxies until the returned function is
 // called.
 func (s *site) runWriters(perProxy int, requestIDs bool) ([]*record, func()) {
 	return s.runCallers(perProxy, func(stop <-chan struct{}, proxy int, r *record) {
@@ -186,8 +188,9 @@
 	})
 }
 
-// runCallers runs a function for each of a number of callers on each proxy. The
-// returned function stops them and waits.
+// runCallers runs perProxy callers on each proxy. Each calls run, which must
+// return when stop is closed. The returned function stops the callers and
+// waits for them.
 func (s *site) runCallers(perProxy int, run func(stop <-chan struct{}, proxy int, r *record)) ([]*record, func()) {
 	stop := make(chan struct{})
 	var records []*record
