--- a/loadgen/result.go
+++ b/loadgen/result.go
@@ -36,10 +36,11 @@
 	// "timeout", "disconnected", "no_connection" or "dropped".
 	Outcomes map[string]int64
 	// WithinTarget counts the successful requests whose latency was at most
-	// the Wait plus the Service of their work. Share is their fraction of all
-	// scheduled requests, 0 to 1 (column "inside" of the table).
+	// the Wait plus the Service of their work.
 	WithinTarget int64
-	Share        float64
+	// Share is the fraction of the scheduled requests that WithinTarget
+	// counts, 0 to 1 (column "inside" of the table).
+	Share float64
 	// Latency is that of successful requests, counted from their scheduled
 	// start.
 	Latency Percentiles
@@ -178,7 +179,8 @@
 func (r *recorder) result() WorkResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// The time from the last success until the end of the last request is a gap too.
+	// The time from the last success until the end of the last request is a
+	// gap too.
 	r.updateGap(max(r.lastFinished, r.lastOK))
 	result := WorkResult{
 		Name:         r.work.Name,
