--- a/gen/lovageslip/v1/lovageslipv1connect/consensus.connect.go
+++ b/gen/lovageslip/v1/lovageslipv1connect/consensus.connect.go
@@ -65,9 +65,11 @@
 	RequestVote(context.Context, *connect.Request[v1.RequestVoteRequest]) (*connect.Response[v1.RequestVoteResponse], error)
 	AppendEntries(context.Context, *connect.Request[v1.AppendEntriesRequest]) (*connect.Response[v1.AppendEntriesResponse], error)
 	InstallSnapshot(context.Context) *connect.ClientStreamForClient[v1.InstallSnapshotRequest, v1.InstallSnapshotResponse]
-	// Forward proposes an entry through the leader on behalf of a follower.
+	// Forward proposes a command at the leader on behalf of another member. It
+	// returns once the command is applied there.
 	Forward(context.Context, *connect.Request[v1.ForwardRequest]) (*connect.Response[v1.ForwardResponse], error)
-	// ReadIndex returns the commit index that a quorum has confirmed.
+	// ReadIndex returns the commit index of a leader with a valid lease. Another
+	// member that has applied the log up to it can serve a consistent read.
 	ReadIndex(context.Context, *connect.Request[v1.ReadIndexRequest]) (*connect.Response[v1.ReadIndexResponse], error)
 }
 
@@ -154,9 +156,11 @@
 	RequestVote(context.Context, *connect.Request[v1.RequestVoteRequest]) (*connect.Response[v1.RequestVoteResponse], error)
 	AppendEntries(context.Context, *connect.Request[v1.AppendEntriesRequest]) (*connect.Response[v1.AppendEntriesResponse], error)
 	InstallSnapshot(context.Context, *connect.ClientStream[v1.InstallSnapshotRequest]) (*connect.Response[v1.InstallSnapshotResponse], error)
-	// Forward proposes an entry through the leader on behalf of a follower.
+	// Forward proposes a command at the leader on behalf of another member. It
+	// returns once the command is applied there.
 	Forward(context.Context, *connect.Request[v1.ForwardRequest]) (*connect.Response[v1.ForwardResponse], error)
-	// ReadIndex returns the commit index that a quorum has confirmed.
+	// ReadIndex returns the commit index of a leader with a valid lease. Another
+	// member that has applied the log up to it can serve a consistent read.
 	ReadIndex(context.Context, *connect.Request[v1.ReadIndexRequest]) (*connect.Response[v1.ReadIndexResponse], error)
 }
 
--- a/gen/lovageslip/v1/lovageslipv1connect/control.connect.go
+++ b/gen/lovageslip/v1/lovageslipv1connect/control.connect.go
@@ -55,16 +55,23 @@
 // ControlServiceClient is a client for the lovageslip.v1.ControlService service.
 type ControlServiceClient interface {
 	// Announce registers an upstream or changes its registration. Proxies serve
-	// the same call and forward it.
+	// the same call and pass it on to a control host.
 	Announce(context.Context, *connect.Request[v1.AnnounceRequest]) (*connect.Response[v1.AnnounceResponse], error)
 	// Heartbeat renews the lease of a proxy on the upstreams that it owns.
 	Heartbeat(context.Context, *connect.Request[v1.HeartbeatRequest]) (*connect.Response[v1.HeartbeatResponse], error)
-	// Watch streams the control state: first a whole, quorum-confirmed state,
-	// then a new message for each change.
+	// Watch streams the control state. The first message follows a quorum read
+	// and holds the whole state, or only the versions if the caller holds that
+	// version already. Later messages hold changes, or only the versions at
+	// intervals at which nothing has changed.
 	Watch(context.Context, *connect.Request[v1.WatchRequest]) (*connect.ServerStreamForClient[v1.WatchResponse], error)
+	// ChangeClass creates, changes or removes a class. It can be sent again with
+	// the same change id and then returns the first answer.
 	ChangeClass(context.Context, *connect.Request[v1.ChangeClassRequest]) (*connect.Response[v1.ChangeClassResponse], error)
 	ListClasses(context.Context, *connect.Request[v1.ListClassesRequest]) (*connect.Response[v1.ListClassesResponse], error)
+	// History returns the accepted changes of classes, the latest first.
 	History(context.Context, *connect.Request[v1.HistoryRequest]) (*connect.Response[v1.HistoryResponse], error)
+	// Status returns the hosts, upstreams, groups and health as the leader sees
+	// them.
 	Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error)
 }
 
@@ -173,16 +180,23 @@
 // ControlServiceHandler is an implementation of the lovageslip.v1.ControlService service.
 type ControlServiceHandler interface {
 	// Announce registers an upstream or changes its registration. Proxies serve
-	// the same call and forward it.
+	// the same call and pass it on to a control host.
 	Announce(context.Context, *connect.Request[v1.AnnounceRequest]) (*connect.Response[v1.AnnounceResponse], error)
 	// Heartbeat renews the lease of a proxy on the upstreams that it owns.
 	Heartbeat(context.Context, *connect.Request[v1.HeartbeatRequest]) (*connect.Response[v1.HeartbeatResponse], error)
-	// Watch streams the control state: first a whole, quorum-confirmed state,
-	// then a new message for each change.
+	// Watch streams the control state. The first message follows a quorum read
+	// and holds the whole state, or only the versions if the caller holds that
+	// version already. Later messages hold changes, or only the versions at
+	// intervals at which nothing has changed.
 	Watch(context.Context, *connect.Request[v1.WatchRequest], *connect.ServerStream[v1.WatchResponse]) error
+	// ChangeClass creates, changes or removes a class. It can be sent again with
+	// the same change id and then returns the first answer.
 	ChangeClass(context.Context, *connect.Request[v1.ChangeClassRequest]) (*connect.Response[v1.ChangeClassResponse], error)
 	ListClasses(context.Context, *connect.Request[v1.ListClassesRequest]) (*connect.Response[v1.ListClassesResponse], error)
+	// History returns the accepted changes of classes, the latest first.
 	History(context.Context, *connect.Request[v1.HistoryRequest]) (*connect.Response[v1.HistoryResponse], error)
+	// Status returns the hosts, upstreams, groups and health as the leader sees
+	// them.
 	Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error)
 }
 
--- a/gen/lovageslip/v1/lovageslipv1connect/exchange.connect.go
+++ b/gen/lovageslip/v1/lovageslipv1connect/exchange.connect.go
@@ -122,8 +122,9 @@
 
 // CallerServiceClient is a client for the lovageslip.v1.CallerService service.
 type CallerServiceClient interface {
-	// CancelRequest cancels what the caller with this key is running, if the
-	// host issued the key.
+	// CancelRequest cancels what the caller with the key is running. A key that
+	// the host does not know is no error, so that the answer does not tell which
+	// keys exist.
 	CancelRequest(context.Context, *connect.Request[v1.CancelCallerRequest]) (*connect.Response[v1.CancelCallerResponse], error)
 }
 
@@ -159,8 +160,9 @@
 
 // CallerServiceHandler is an implementation of the lovageslip.v1.CallerService service.
 type CallerServiceHandler interface {
-	// CancelRequest cancels what the caller with this key is running, if the
-	// host issued the key.
+	// CancelRequest cancels what the caller with the key is running. A key that
+	// the host does not know is no error, so that the answer does not tell which
+	// keys exist.
 	CancelRequest(context.Context, *connect.Request[v1.CancelCallerRequest]) (*connect.Response[v1.CancelCallerResponse], error)
 }
 
--- a/gen/lovageslip/v1/lovageslipv1connect/site.connect.go
+++ b/gen/lovageslip/v1/lovageslipv1connect/site.connect.go
@@ -47,16 +47,22 @@
 
 // SiteServiceClient is a client for the lovageslip.v1.SiteService service.
 type SiteServiceClient interface {
-	// Watch sends the state at once and after each change.
+	// Watch streams the state of the site to a proxy: first the whole state, then
+	// what has changed. An update without changes is sent as a keep-alive. The
+	// stream ends when the host knows no leader.
 	Watch(context.Context, *connect.Request[v1.WatchSiteRequest]) (*connect.ServerStreamForClient[v1.SiteUpdate], error)
-	// Announce passes an upstream's announcement to the leader.
+	// Announce passes an upstream's announcement on to the leader. Other hosts
+	// refuse it.
 	Announce(context.Context, *connect.Request[v1.AnnounceUpstreamRequest]) (*connect.Response[v1.AnnounceUpstreamResponse], error)
-	// Report tells which upstreams cannot be reached, and by how many proxies.
+	// Report tells a control host how many proxies run and, for each primary, how
+	// many of them cannot reach it.
 	Report(context.Context, *connect.Request[v1.ReportRequest]) (*connect.Response[v1.ReportResponse], error)
-	// Positions tells what the primaries of groups held a moment ago.
+	// Positions returns recent log positions of the primaries of groups. It
+	// leaves out groups for which none is known.
 	Positions(context.Context, *connect.Request[v1.PositionsRequest]) (*connect.Response[v1.PositionsResponse], error)
-	// Join asks for membership of the control hosts. Any host answers; one that
-	// knows a leader passes the call on.
+	// Join asks for the calling host to be added to the members of the consensus.
+	// The leader decides. Any other host passes the call on to the leader if it
+	// knows one, and otherwise names the members that it knows.
 	Join(context.Context, *connect.Request[v1.JoinRequest]) (*connect.Response[v1.JoinResponse], error)
 }
 
@@ -140,16 +146,22 @@
 
 // SiteServiceHandler is an implementation of the lovageslip.v1.SiteService service.
 type SiteServiceHandler interface {
-	// Watch sends the state at once and after each change.
+	// Watch streams the state of the site to a proxy: first the whole state, then
+	// what has changed. An update without changes is sent as a keep-alive. The
+	// stream ends when the host knows no leader.
 	Watch(context.Context, *connect.Request[v1.WatchSiteRequest], *connect.ServerStream[v1.SiteUpdate]) error
-	// Announce passes an upstream's announcement to the leader.
+	// Announce passes an upstream's announcement on to the leader. Other hosts
+	// refuse it.
 	Announce(context.Context, *connect.Request[v1.AnnounceUpstreamRequest]) (*connect.Response[v1.AnnounceUpstreamResponse], error)
-	// Report tells which upstreams cannot be reached, and by how many proxies.
+	// Report tells a control host how many proxies run and, for each primary, how
+	// many of them cannot reach it.
 	Report(context.Context, *connect.Request[v1.ReportRequest]) (*connect.Response[v1.ReportResponse], error)
-	// Positions tells what the primaries of groups held a moment ago.
+	// Positions returns recent log positions of the primaries of groups. It
+	// leaves out groups for which none is known.
 	Positions(context.Context, *connect.Request[v1.PositionsRequest]) (*connect.Response[v1.PositionsResponse], error)
-	// Join asks for membership of the control hosts. Any host answers; one that
-	// knows a leader passes the call on.
+	// Join asks for the calling host to be added to the members of the consensus.
+	// The leader decides. Any other host passes the call on to the leader if it
+	// knows one, and otherwise names the members that it knows.
 	Join(context.Context, *connect.Request[v1.JoinRequest]) (*connect.Response[v1.JoinResponse], error)
 }
 
