--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -110,14 +110,14 @@
 
 func (a *attempt) choose(view *registry.View) error {
 	a.routed = route.Request{
-		View:      view,
-		Database:  a.session.database,
-		Class:     a.class,
-		Mode:      a.mode,
-		Min:       a.session.position,
-		SinceMin:  time.Since(a.session.positionTime),
-		Remaining: a.remaining(),
-		Exclude:   a.excluded,
+		View:           view,
+		Database:       a.session.database,
+		Class:          a.class,
+		Mode:           a.mode,
+		MinPosition:    a.session.position,
+		MinPositionAge: time.Since(a.session.positionTime),
+		Remaining:      a.remaining(),
+		Exclude:        a.excluded,
 	}
 	choice, err := a.entry.router.Choose(a.routed)
 	a.chosen = choice
@@ -130,7 +130,7 @@
 	if delay <= 0 {
 		return nil
 	}
-	a.routed.SinceMin += delay
+	a.routed.MinPositionAge += delay
 	if !pause.For(ctx, delay) {
 		return cancelled()
 	}
@@ -158,16 +158,16 @@
 	name := a.chosen.Upstream.Name
 	a.session.setStream(stream)
 	defer a.session.setStream(nil)
-	a.entry.router.Started(name)
+	a.entry.router.RequestStarted(name)
 	begun := time.Now()
 	done, err := stream.Run(ctx, a.batch(), a.forward)
 	if err != nil {
-		a.entry.router.Finished(name, 0)
+		a.entry.router.RequestFinished(name, 0)
 		_ = stream.Close() // the exchange has ended with the error
 		return done, err
 	}
-	a.entry.router.Finished(name, time.Since(begun)-done.Spent)
-	a.entry.router.Observe(done.Hint)
+	a.entry.router.RequestFinished(name, time.Since(begun)-done.Spent)
+	a.entry.router.RecordHint(done.Hint)
 	if done.State == upstream.StateIdle {
 		_ = stream.Close() // nothing is open on it
 		return done, nil
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -116,9 +116,9 @@
 	}
 	switch reason {
 	case fault.ReasonStale:
-		a.entry.router.Stale(name, a.routed)
+		a.entry.router.RecordStale(name, a.routed)
 	case fault.ReasonUpstreamUnavailable, fault.ReasonLeaseLapsed, fault.ReasonShutdown, fault.ReasonSilentConnection:
-		a.entry.router.Unavailable(name)
+		a.entry.router.RecordUnavailable(name)
 	}
 }
 
@@ -134,7 +134,7 @@
 	if a.mode == upstream.ModeRead {
 		// The server refuses writes in read mode, so the last try changed
 		// nothing and a second run does no harm.
-		a.entry.router.Unavailable(a.chosen.Upstream.Name)
+		a.entry.router.RecordUnavailable(a.chosen.Upstream.Name)
 		a.exclude()
 		return a.spendRetry(unknown.Reason)
 	}
--- a/entry/session.go
+++ b/entry/session.go
@@ -170,7 +170,7 @@
 		s.unpin()
 		return Reply{}, s.entry.finalError(err, s.pinnedClass, 0)
 	}
-	s.entry.router.Observe(done.Hint)
+	s.entry.router.RecordHint(done.Hint)
 	if done.State == upstream.StateIdle {
 		s.unpin()
 	}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -250,17 +250,17 @@
 		return
 	}
 	for _, position := range positions {
-		p.group(position.Group).positions.add(position.Position, position.AskedAt)
+		p.group(position.Group).positions.add(position.Position, position.RequestedAt)
 	}
 }
 
 // GroupPosition is a position that the leading primary of a group reported. It
 // includes every commit that was acknowledged before the request for it was
-// sent at AskedAt.
+// sent at RequestedAt.
 type GroupPosition struct {
-	Group    string
-	Position upstream.Position
-	AskedAt  time.Time
+	Group       string
+	Position    upstream.Position
+	RequestedAt time.Time
 }
 
 func (p *Proxy) sampleDue(name string) bool {
@@ -353,9 +353,9 @@
 	}
 }
 
-// Reach returns the ids of the primaries that this proxy cannot reach, and of
+// PrimaryReachability returns the ids of the primaries that this proxy cannot reach, and of
 // those that it has lately sent nothing to and so can't tell.
-func (p *Proxy) Reach() (unreachable, untried []string) {
+func (p *Proxy) PrimaryReachability() (unreachable, untried []string) {
 	for _, g := range p.View().Groups() {
 		pl, u, ok := p.primaryPool(g.Name)
 		switch {
--- a/route/route.go
+++ b/route/route.go
@@ -40,11 +40,11 @@
 	Database string
 	Class    class.Class
 	Mode     upstream.Mode
-	// Min is the position that the upstream must hold for a read.
-	Min upstream.Position
-	// SinceMin is a lower bound of the time since that position was
+	// MinPosition is the position that the upstream must hold for a read.
+	MinPosition upstream.Position
+	// MinPositionAge is a lower bound of the time since that position was
 	// committed.
-	SinceMin time.Duration
+	MinPositionAge time.Duration
 	// Remaining is how long the request may still wait.
 	Remaining time.Duration
 	// Exclude lists the names of upstreams that have refused this request.
@@ -257,8 +257,8 @@
 	return remoteNetworkTime
 }
 
-// Observe stores the hint that an owner sent with an answer.
-func (r *Router) Observe(hint exchange.Hint) {
+// RecordHint stores the hint that an owner sent with an answer.
+func (r *Router) RecordHint(hint exchange.Hint) {
 	if hint.Upstream == "" {
 		return
 	}
@@ -267,17 +267,17 @@
 	r.state(hint.Upstream).recordHint(hint, r.now())
 }
 
-// Started counts a request that was sent to an upstream as outstanding.
-func (r *Router) Started(name string) {
+// RequestStarted counts a request that was sent to an upstream as outstanding.
+func (r *Router) RequestStarted(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.state(name).outstanding++
 }
 
-// Finished counts a request as no longer outstanding and records its network
+// RequestFinished counts a request as no longer outstanding and records its network
 // time: its duration less the time that the owner spent on it; zero if it was
 // not answered.
-func (r *Router) Finished(name string, network time.Duration) {
+func (r *Router) RequestFinished(name string, network time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.state(name)
@@ -285,17 +285,17 @@
 	s.recordNetworkTime(network)
 }
 
-// Stale records that an upstream refused a request because its data were too old.
-func (r *Router) Stale(name string, request Request) {
+// RecordStale records that an upstream refused a request because its data were too old.
+func (r *Router) RecordStale(name string, request Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.state(name).recordStale(request, r.now())
 }
 
-// Unavailable records that an upstream could not take a request. A replica gets
+// RecordUnavailable records that an upstream could not take a request. A replica gets
 // no reads for a while after it, so that a lost replica does not cost each read
 // a retry.
-func (r *Router) Unavailable(name string) {
+func (r *Router) RecordUnavailable(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.state(name).recordUnavailable(r.now())
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -94,17 +94,17 @@
 func TestReplicaThatWasTooOldIsChosenAgainBelowFourFifthsOfTheAge(t *testing.T) {
 	r, _ := newRouter()
 	request := read(view())
-	r.Observe(hint("near", 100*time.Millisecond, 1))
+	r.RecordHint(hint("near", 100*time.Millisecond, 1))
 	assert.Equal(t, chosen(t, r, request), "far")
-	r.Observe(hint("near", 90*time.Millisecond, 1))
+	r.RecordHint(hint("near", 90*time.Millisecond, 1))
 	assert.Equal(t, chosen(t, r, request), "far")
-	r.Observe(hint("near", 79*time.Millisecond, 1))
+	r.RecordHint(hint("near", 79*time.Millisecond, 1))
 	assert.Equal(t, chosen(t, r, request), "near")
 }
 
 func TestOldHintIsForgottenAndTheReplicaIsTriedAgain(t *testing.T) {
 	r, c := newRouter()
-	r.Observe(hint("near", time.Hour, 1))
+	r.RecordHint(hint("near", time.Hour, 1))
 	assert.Equal(t, chosen(t, r, read(view())), "far")
 	c.advance(2 * time.Second)
 	assert.Equal(t, chosen(t, r, read(view())), "near")
@@ -114,28 +114,28 @@
 	r, _ := newRouter()
 	request := read(view())
 	request.Exclude = []string{"far"}
-	request.Min = upstream.Position{Term: 1, Offset: 10}
-	r.Observe(hint("near", 30*time.Millisecond, 9))
+	request.MinPosition = upstream.Position{Term: 1, Offset: 10}
+	r.RecordHint(hint("near", 30*time.Millisecond, 9))
 	choice, err := r.Choose(request)
 	assert.NilError(t, err)
 	assert.Equal(t, choice.Upstream.Name, "near")
 	assert.Equal(t, choice.Delay, 30*time.Millisecond)
 	request.Remaining = 40 * time.Millisecond
 	assert.Equal(t, chosen(t, r, request), "primary")
-	request.SinceMin = 35 * time.Millisecond
+	request.MinPositionAge = 35 * time.Millisecond
 	assert.Equal(t, chosen(t, r, request), "near")
 }
 
 func TestReplicaThatRefusedAStaleReadIsAvoidedForAWhile(t *testing.T) {
 	r, c := newRouter()
 	request := read(view())
-	r.Stale("near", request)
+	r.RecordStale("near", request)
 	assert.Equal(t, chosen(t, r, request), "far")
 	c.advance(time.Second)
 	assert.Equal(t, chosen(t, r, request), "near")
-	request.Min = upstream.Position{Term: 1, Offset: 10}
-	request.SinceMin = time.Second
-	r.Stale("near", request)
+	request.MinPosition = upstream.Position{Term: 1, Offset: 10}
+	request.MinPositionAge = time.Second
+	r.RecordStale("near", request)
 	assert.Equal(t, chosen(t, r, request), "far")
 }
 
@@ -143,7 +143,7 @@
 	r, _ := newRouter()
 	busy := hint("near", 0, 1)
 	busy.ExpectedWait = 200 * time.Millisecond
-	r.Observe(busy)
+	r.RecordHint(busy)
 	assert.Equal(t, chosen(t, r, read(view())), "far")
 	request := read(view())
 	request.Exclude = []string{"far"}
@@ -157,15 +157,15 @@
 func TestLostReplicaGetsNoReadsForAWhile(t *testing.T) {
 	r, c := newRouter()
 	request := read(view())
-	r.Unavailable("near")
+	r.RecordUnavailable("near")
 	assert.Equal(t, chosen(t, r, request), "far")
-	r.Unavailable("far")
+	r.RecordUnavailable("far")
 	assert.Equal(t, chosen(t, r, request), "primary")
 	c.advance(100 * time.Millisecond)
 	assert.Equal(t, chosen(t, r, request), "near")
-	r.Unavailable("near")
+	r.RecordUnavailable("near")
 	c.advance(100 * time.Millisecond)
 	assert.Assert(t, chosen(t, r, request) != "near", "the second backoff must be longer than the first")
-	r.Observe(hint("near", 0, 1))
+	r.RecordHint(hint("near", 0, 1))
 	assert.Equal(t, chosen(t, r, request), "near")
 }
--- a/route/state.go
+++ b/route/state.go
@@ -91,9 +91,9 @@
 // lacked the session's position, the lag must be longer than the time since its
 // commit; otherwise the data are older than the class's age.
 func (s *state) recordStale(request Request, now time.Time) {
-	hasPosition := request.Min.Term != 0
-	if hasPosition && (s.hintAt.IsZero() || s.hint.Position.Before(request.Min)) {
-		s.lag = min(maxLag, max(s.lag, request.SinceMin+request.SinceMin/2+time.Millisecond))
+	hasPosition := request.MinPosition.Term != 0
+	if hasPosition && (s.hintAt.IsZero() || s.hint.Position.Before(request.MinPosition)) {
+		s.lag = min(maxLag, max(s.lag, request.MinPositionAge+request.MinPositionAge/2+time.Millisecond))
 		return
 	}
 	s.staleBackoff = min(maxBackoff, max(minBackoff, 2*s.staleBackoff))
@@ -139,13 +139,13 @@
 // catchUpDelay returns the time until the replica is expected to hold the
 // session's position.
 func (s *state) catchUpDelay(request Request) time.Duration {
-	if request.Min.Term == 0 {
+	if request.MinPosition.Term == 0 {
 		return 0
 	}
-	if !s.hintAt.IsZero() && !s.hint.Position.Before(request.Min) {
+	if !s.hintAt.IsZero() && !s.hint.Position.Before(request.MinPosition) {
 		return 0
 	}
-	return max(0, s.lag-request.SinceMin)
+	return max(0, s.lag-request.MinPositionAge)
 }
 
 // expectedWait returns the wait that a request is expected to have at the
--- a/sitewatch/sitewatch.go
+++ b/sitewatch/sitewatch.go
@@ -60,10 +60,10 @@
 type Proxy interface {
 	// SetView is called with each newer view, from one goroutine.
 	SetView(*site.View)
-	// Reach returns the ids of the primaries that the proxy cannot reach, and
+	// PrimaryReachability returns the ids of the primaries that the proxy cannot reach, and
 	// of those to which it has sent no request lately, so that it does not
 	// know whether it can.
-	Reach() (unreachable, untried []string)
+	PrimaryReachability() (unreachable, untried []string)
 }
 
 // Watch is a proxy's connection to the control hosts. It is safe for concurrent
@@ -293,7 +293,7 @@
 	var last []string
 	var sentAt time.Time
 	for pause.For(ctx, reportCheckInterval) {
-		unreachable, untried := p.Reach()
+		unreachable, untried := p.PrimaryReachability()
 		interval := sitecontrol.ReportInterval
 		if len(unreachable) > 0 {
 			interval = sitecontrol.UnreachableReportInterval
@@ -356,9 +356,9 @@
 	var positions []proxy.GroupPosition
 	for _, p := range response.Msg.Positions {
 		positions = append(positions, proxy.GroupPosition{
-			Group:    p.Group,
-			Position: upstream.Position{Term: upstream.Term(p.Term), Offset: upstream.Offset(p.Offset)},
-			AskedAt:  calledAt.Add(-time.Duration(p.AgeMs) * time.Millisecond),
+			Group:       p.Group,
+			Position:    upstream.Position{Term: upstream.Term(p.Term), Offset: upstream.Offset(p.Offset)},
+			RequestedAt: calledAt.Add(-time.Duration(p.AgeMs) * time.Millisecond),
 		})
 	}
 	return positions, nil
