--- a/admission/admission.go
+++ b/admission/admission.go
@@ -80,9 +80,9 @@
 	// Preemptible is true if the request can be stopped and run again, until
 	// the holder of its slot excludes it from preemption.
 	Preemptible bool
-	// Long marks a request that was preempted because it ran long. It is
+	// Preempted marks a request that was preempted because it ran long. It is
 	// never refused because of its wait, since its first run started in time.
-	Long bool
+	Preempted bool
 }
 
 // Queue limits how many requests run on one upstream and holds those that wait.
@@ -112,7 +112,7 @@
 // New returns an empty queue.
 func New(o Options) *Queue {
 	if o.Policy == nil {
-		o.Policy = NewShortest()
+		o.Policy = NewShortestJobFirst()
 	}
 	q := &Queue{
 		log:         logging.For(o.Log, "admission"),
@@ -167,7 +167,7 @@
 }
 
 func expiry(req Request) (<-chan time.Time, func() bool) {
-	if req.Continuation || req.Long {
+	if req.Continuation || req.Preempted {
 		return nil, func() bool { return true }
 	}
 	timer := time.NewTimer(max(0, req.WaitRemaining))
@@ -196,7 +196,7 @@
 // predictStart returns how long w is predicted to wait for a slot and whether
 // that is longer than w may wait.
 func (q *Queue) predictStart(w *waiter, now time.Time) (start time.Duration, late bool) {
-	if w.Continuation || w.Long {
+	if w.Continuation || w.Preempted {
 		return 0, false
 	}
 	start, limit := q.policy.predict(&q.upstream, w, now)
@@ -318,9 +318,9 @@
 	return q.backlog(q.clock.Now())
 }
 
-// Pace returns the mean time between the starts of two requests while others
+// Capacity returns the mean time between the starts of two requests while others
 // wait, and the number of slots.
-func (q *Queue) Pace() (interval time.Duration, slots int) {
+func (q *Queue) Capacity() (interval time.Duration, slots int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	all := q.upstream.estimator.overall.withPrior(serviceTime{}, q.clock.Now())
@@ -341,19 +341,19 @@
 	return len(q.upstream.running)
 }
 
-// Patience returns the inactivity timeout of running requests of a class and
+// InactivityTimeout returns the inactivity timeout of running requests of a class and
 // shape: how long nothing may be received from the upstream until the request
 // is considered lost. It is derived from the service times seen so far.
-func (q *Queue) Patience(class string, shape uint64) time.Duration {
+func (q *Queue) InactivityTimeout(class string, shape uint64) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.upstream.estimator.inactivityTimeout(kind{class: class, shape: shape}, q.clock.Now())
 }
 
-// Lost records that a request was considered lost after elapsed without any
+// ObserveLost records that a request was considered lost after elapsed without any
 // sign of activity. It raises the inactivity timeouts, in case the request was
 // only slow.
-func (q *Queue) Lost(elapsed time.Duration) {
+func (q *Queue) ObserveLost(elapsed time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.upstream.estimator.observeLongest(elapsed.Seconds(), q.clock.Now())
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -96,9 +96,9 @@
 	first, second := acquire(t, q, r), acquire(t, q, r)
 	short, _ := inBackground(context.Background(), q, request(1))
 	select {
-	case <-first.Yield():
+	case <-first.Preempted():
 		first.Release(NotMeasured)
-	case <-second.Yield():
+	case <-second.Preempted():
 		second.Release(NotMeasured)
 	case <-time.After(20 * time.Second):
 		t.Fatal("no straggler was preempted within 20 s")
@@ -114,12 +114,12 @@
 	r := request(1)
 	r.Preemptible = true
 	first, second := acquire(t, q, r), acquire(t, q, r)
-	assert.Assert(t, first.Keep())
+	assert.Assert(t, first.DisablePreemption())
 	short, _ := inBackground(context.Background(), q, request(1))
-	<-second.Yield()
-	assert.Assert(t, !second.Keep())
+	<-second.Preempted()
+	assert.Assert(t, !second.DisablePreemption())
 	select {
-	case <-first.Yield():
+	case <-first.Preempted():
 		t.Fatal("a request was preempted after its answer had begun")
 	default:
 	}
@@ -129,7 +129,7 @@
 
 // Guards against requests that stay in the queue after their caller has gone.
 func TestCancelledRequestLeavesQueue(t *testing.T) {
-	for _, policy := range []Policy{NewFIFO(), NewShortest()} {
+	for _, policy := range []Policy{NewFIFO(), NewShortestJobFirst()} {
 		q := New(Options{Slots: 1, Policy: policy})
 		occupied := acquire(t, q, request(1))
 		ctx, cancel := context.WithCancel(context.Background())
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -117,7 +117,7 @@
 			finished = true
 			slot.Release(NotMeasured)
 			again := req
-			again.Long = true
+			again.Preempted = true
 			again.Continuation = false
 			again.Waited += s.now.Sub(t.arrivedAt)
 			again.WaitRemaining -= s.now.Sub(t.arrivedAt)
@@ -138,7 +138,7 @@
 		return
 	}
 	s.schedule(s.now.Add(max(req.WaitRemaining, 0)), func() {
-		if !req.Long && s.queue.remove(w) {
+		if !req.Preempted && s.queue.remove(w) {
 			t.refused = true
 		}
 	})
@@ -244,7 +244,7 @@
 	make func() Policy
 }{
 	{"fifo", func() Policy { return NewFIFO() }},
-	{"shortest", func() Policy { return NewShortest() }},
+	{"shortest", func() Policy { return NewShortestJobFirst() }},
 }
 
 // Prints the figures of docs/notes/admission.md: the waits of short requests
--- a/admission/shortest.go
+++ b/admission/shortest.go
@@ -47,11 +47,11 @@
 	minStanding   = 250 * time.Millisecond
 )
 
-// Shortest is the policy of queues that serve callers. It starts requests that
+// ShortestJobFirst is the policy of queues that serve callers. It starts requests that
 // are expected to be short before long ones, and prefers those with less wait
 // left. It limits the slots for long requests, so that short ones do not wait
 // behind them.
-type Shortest struct {
+type ShortestJobFirst struct {
 	buckets map[bucketKey]*bucket
 	// busySince is the start of the current period in which requests have
 	// waited without a break.
@@ -67,8 +67,10 @@
 	actualWait, predictedWait rate
 }
 
-// NewShortest returns a policy without waiting requests.
-func NewShortest() *Shortest { return &Shortest{buckets: map[bucketKey]*bucket{}} }
+// NewShortestJobFirst returns a policy without waiting requests.
+func NewShortestJobFirst() *ShortestJobFirst {
+	return &ShortestJobFirst{buckets: map[bucketKey]*bucket{}}
+}
 
 // bucketKey identifies requests with the same expected service time. preempted
 // marks those that were preempted because they ran long.
@@ -77,7 +79,7 @@
 	preempted bool
 }
 
-func (w *waiter) bucketKey() bucketKey { return bucketKey{kind: w.kind(), preempted: w.Long} }
+func (w *waiter) bucketKey() bucketKey { return bucketKey{kind: w.kind(), preempted: w.Preempted} }
 
 // bucket holds the waiting requests of one bucketKey, ordered by deadline.
 type bucket struct {
@@ -115,7 +117,7 @@
 	return n * float64(t.Sub(first)) / float64(last.Sub(first))
 }
 
-func (p *Shortest) push(_ *upstreamState, w *waiter, now time.Time) {
+func (p *ShortestJobFirst) push(_ *upstreamState, w *waiter, now time.Time) {
 	if len(p.buckets) == 0 {
 		p.busySince = now
 	}
@@ -129,7 +131,7 @@
 	bk.insert(w)
 }
 
-func (p *Shortest) remove(w *waiter) {
+func (p *ShortestJobFirst) remove(w *waiter) {
 	w.bucket.waiting.Remove(w.element)
 	if w.bucket.waiting.Len() == 0 {
 		delete(p.buckets, w.bucket.key)
@@ -152,7 +154,7 @@
 // rank returns the rank of w. Urgent long requests come first, then short ones,
 // then the other long ones. Within a tier the order is by the sum of the expected
 // service time and the wait that is left.
-func (p *Shortest) rank(w *waiter, typical float64, long bool, now time.Time) rank {
+func (p *ShortestJobFirst) rank(w *waiter, typical float64, long bool, now time.Time) rank {
 	remaining := w.deadline.Sub(now).Seconds()
 	r := rank{tier: 1, value: typical + remaining}
 	if !long {
@@ -168,7 +170,7 @@
 // expectedTime returns the expected service time of k. Preempted requests take
 // longer than others of their class and shape, so for them it is at least the
 // mean of requests that ran past stopAfter.
-func (p *Shortest) expectedTime(u *upstreamState, k bucketKey, now time.Time) serviceTime {
+func (p *ShortestJobFirst) expectedTime(u *upstreamState, k bucketKey, now time.Time) serviceTime {
 	s := u.estimator.expectedTime(k.kind, now)
 	if !k.preempted {
 		return s
@@ -179,7 +181,7 @@
 
 // overrunMean returns the mean service time in seconds of requests that ran past
 // stopAfter; zero if there were none lately.
-func (p *Shortest) overrunMean(now time.Time) float64 {
+func (p *ShortestJobFirst) overrunMean(now time.Time) float64 {
 	p.overrun.decay(now)
 	if p.overrun.weight < minWeight {
 		return 0
@@ -187,7 +189,7 @@
 	return p.overrun.sum / p.overrun.weight
 }
 
-func (p *Shortest) next(u *upstreamState, now time.Time) *waiter {
+func (p *ShortestJobFirst) next(u *upstreamState, now time.Time) *waiter {
 	var best *waiter
 	var bestRank rank
 	for _, bk := range p.buckets {
@@ -217,7 +219,7 @@
 const maxCorrection = 4
 
 // correction returns the ratio of actual to predicted waits of the last seconds.
-func (p *Shortest) correction(now time.Time) float64 {
+func (p *ShortestJobFirst) correction(now time.Time) float64 {
 	predicted := p.predictedWait.perSecond(now)
 	if predicted == 0 {
 		return 1
@@ -229,7 +231,7 @@
 // requests get the slots that short ones leave free. Once w has waited
 // longWaitFactor times its typical service time, it may also take another slot,
 // but never the last one.
-func (p *Shortest) longMayStart(u *upstreamState, w *waiter, typical float64, now time.Time) bool {
+func (p *ShortestJobFirst) longMayStart(u *upstreamState, w *waiter, typical float64, now time.Time) bool {
 	longCount := u.runningLong(now)
 	if longCount < p.softLimit(u, now) {
 		return true
@@ -242,19 +244,19 @@
 
 // softLimit returns how many slots long requests may use without delaying short
 // ones, if short requests keep arriving as in the last seconds.
-func (p *Shortest) softLimit(u *upstreamState, now time.Time) int {
+func (p *ShortestJobFirst) softLimit(u *upstreamState, now time.Time) int {
 	// A load of up to a tenth above a whole number does not reserve one more.
 	shortSlots := int(math.Ceil(p.shortLoad.perSecond(now) - 0.1))
 	return min(max(u.slots-shortSlots, 1), u.hardLimit())
 }
 
-func (p *Shortest) mayStart(u *upstreamState, w *waiter, now time.Time) bool {
+func (p *ShortestJobFirst) mayStart(u *upstreamState, w *waiter, now time.Time) bool {
 	k := w.bucketKey()
 	w.expectedLong = u.expectedLong(k, p.expectedTime(u, k, now), now)
 	return !w.expectedLong || u.runningLong(now) < u.hardLimit()
 }
 
-func (p *Shortest) observe(u *upstreamState, s *Slot, elapsed time.Duration, now time.Time) {
+func (p *ShortestJobFirst) observe(u *upstreamState, s *Slot, elapsed time.Duration, now time.Time) {
 	if elapsed.Seconds() > u.stopAfter(now) {
 		p.overrun.add(elapsed.Seconds(), math.Inf(1), now)
 	}
@@ -267,7 +269,7 @@
 // predict divides the expected work ahead of w by the slots for requests of its
 // length, short or long. Ahead of w are running requests of the same length and
 // waiting ones with an earlier deadline.
-func (p *Shortest) predict(u *upstreamState, w *waiter, now time.Time) (start, limit time.Duration) {
+func (p *ShortestJobFirst) predict(u *upstreamState, w *waiter, now time.Time) (start, limit time.Duration) {
 	limit = p.limit(w, now)
 	if len(u.running) < u.slots && len(p.buckets) == 0 {
 		return 0, limit
@@ -292,7 +294,7 @@
 	return start, limit
 }
 
-func (p *Shortest) limit(w *waiter, now time.Time) time.Duration {
+func (p *ShortestJobFirst) limit(w *waiter, now time.Time) time.Duration {
 	limit := w.deadline.Sub(now)
 	if len(p.buckets) == 0 || now.Sub(p.busySince) < standingAfter {
 		return limit
@@ -309,7 +311,7 @@
 
 // runningWork returns the expected remaining time in seconds of the running
 // requests that are long, or short, and the number of slots for such requests.
-func (p *Shortest) runningWork(u *upstreamState, long bool, now time.Time) (remaining float64, slots int) {
+func (p *ShortestJobFirst) runningWork(u *upstreamState, long bool, now time.Time) (remaining float64, slots int) {
 	others := 0
 	for _, s := range u.running {
 		if u.isLong(s, now) != long {
--- a/admission/slot.go
+++ b/admission/slot.go
@@ -48,14 +48,14 @@
 	long         bool
 }
 
-// Yield returns a channel that is closed when the queue preempts the request:
+// Preempted returns a channel that is closed when the queue preempts the request:
 // the holder has to stop it, release the slot and run it again later.
-func (s *Slot) Yield() <-chan struct{} { return s.preemption }
+func (s *Slot) Preempted() <-chan struct{} { return s.preemption }
 
-// Keep excludes the request from preemption because it can no longer be run
+// DisablePreemption excludes the request from preemption because it can no longer be run
 // again, for example because a part of its answer has been sent to the caller.
 // It returns false if the request has been preempted already.
-func (s *Slot) Keep() bool {
+func (s *Slot) DisablePreemption() bool {
 	s.queue.mu.Lock()
 	defer s.queue.mu.Unlock()
 	s.preemptionDisabled = true
--- a/admission/stop.go
+++ b/admission/stop.go
@@ -54,7 +54,7 @@
 // long requests use more slots than their limit and short ones wait. The request
 // runs again later as a long one. A request is preempted at most once, and the
 // one that started last first, so that little work is lost.
-func (p *Shortest) victim(u *upstreamState, now time.Time) (*Slot, time.Time) {
+func (p *ShortestJobFirst) victim(u *upstreamState, now time.Time) (*Slot, time.Time) {
 	limit := u.stopAfter(now)
 	if math.IsInf(limit, 1) || !p.shortWorkWaits(u, now) || !p.stopPays(limit, now) {
 		return nil, time.Time{}
@@ -76,7 +76,7 @@
 
 // stopPays reports whether a request that has run for limit seconds is expected
 // to run for much longer. Otherwise a preemption only wastes the work done.
-func (p *Shortest) stopPays(limit float64, now time.Time) bool {
+func (p *ShortestJobFirst) stopPays(limit float64, now time.Time) bool {
 	mean := p.overrunMean(now)
 	return mean == 0 || mean >= minOverrunFactor*limit
 }
@@ -85,7 +85,7 @@
 // although they were expected to be short, and the time at which the next
 // running request will count as long. It returns neither while another
 // preemption is in progress.
-func (p *Shortest) stoppable(u *upstreamState, now time.Time) (youngest *Slot, next time.Time) {
+func (p *ShortestJobFirst) stoppable(u *upstreamState, now time.Time) (youngest *Slot, next time.Time) {
 	for _, s := range u.running {
 		if s.preempted {
 			return nil, time.Time{}
@@ -111,7 +111,7 @@
 	return a
 }
 
-func (p *Shortest) shortWorkWaits(u *upstreamState, now time.Time) bool {
+func (p *ShortestJobFirst) shortWorkWaits(u *upstreamState, now time.Time) bool {
 	for _, bk := range p.buckets {
 		if !u.expectedLong(bk.key, p.expectedTime(u, bk.key, now), now) {
 			return true
--- a/daemon/load_bench_test.go
+++ b/daemon/load_bench_test.go
@@ -32,7 +32,7 @@
 	make func() admission.Policy
 }{
 	{"fifo", func() admission.Policy { return admission.NewFIFO() }},
-	{"shortest", func() admission.Policy { return admission.NewShortest() }},
+	{"shortest", func() admission.Policy { return admission.NewShortestJobFirst() }},
 }
 
 // BenchmarkPeak raises an open-loop load to ten times its rate for 5 s, against
--- a/entry/session.go
+++ b/entry/session.go
@@ -106,7 +106,7 @@
 
 // advance moves the session's position forward; an earlier position has no effect.
 func (s *Session) advance(position upstream.Position) {
-	merged := session.Merge(s.position, position)
+	merged := session.Later(s.position, position)
 	if merged == s.position {
 		return
 	}
--- a/owner/admit.go
+++ b/owner/admit.go
@@ -112,7 +112,7 @@
 		Waited:        j.batch.Waited + time.Since(j.arrived),
 		WaitRemaining: j.waitRemaining(),
 		Continuation:  j.continuation,
-		Long:          j.restarted,
+		Preempted:     j.restarted,
 		Preemptible:   j.preemptible(),
 	}
 }
--- a/owner/execute.go
+++ b/owner/execute.go
@@ -66,7 +66,7 @@
 // preemptionRequested reports whether the queue has asked for the slot back.
 func (j *job) preemptionRequested() bool {
 	select {
-	case <-j.slot.Yield():
+	case <-j.slot.Preempted():
 		return true
 	default:
 		return false
--- a/owner/execution.go
+++ b/owner/execution.go
@@ -125,7 +125,7 @@
 func (x *execution) withhold(chunk []byte) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.delivered || len(x.withheld)+len(chunk) > maxWithheldBytes || x.job.slot.Keep() {
+	if x.delivered || len(x.withheld)+len(chunk) > maxWithheldBytes || x.job.slot.DisablePreemption() {
 		x.delivered = true
 		return false
 	}
--- a/owner/fake_test.go
+++ b/owner/fake_test.go
@@ -199,7 +199,7 @@
 	f()
 }
 
-// Active implements pool.Activity.
+// Active implements pool.ActivityChecker.
 func (c *conn) Active(context.Context, upstream.Conn) (bool, error) {
 	c.group.mu.Lock()
 	activity := c.group.activity
--- a/owner/monitor.go
+++ b/owner/monitor.go
@@ -24,7 +24,7 @@
 	interval := x.job.stream.owner.opts.SilentAfter
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
-	yield := x.job.slot.Yield()
+	yield := x.job.slot.Preempted()
 	idleProbes := 0
 	for {
 		select {
@@ -73,11 +73,11 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	switch j.stream.upstream.pool.Probe(ctx, x.conn) {
-	case pool.Idle:
+	case pool.ProbeIdle:
 		*idleProbes++
 		return *idleProbes >= idleProbesUntilLost
-	case pool.Unclear:
-		return x.silentFor() >= j.stream.upstream.queue.Patience(j.stream.open.Class, j.batch.Shape)
+	case pool.ProbeInconclusive:
+		return x.silentFor() >= j.stream.upstream.queue.InactivityTimeout(j.stream.open.Class, j.batch.Shape)
 	default:
 		*idleProbes = 0
 		return false
@@ -91,7 +91,7 @@
 // of the batch.
 func (x *execution) abandonConn() {
 	x.silent.Store(true)
-	x.job.stream.upstream.queue.Lost(x.silentFor())
+	x.job.stream.upstream.queue.ObserveLost(x.silentFor())
 	x.markCancelled()
 	_ = x.conn.Close()
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -35,7 +35,7 @@
 	Dialer    upstream.Dialer
 	// Bounds of each upstream's queue; zero fields take the defaults.
 	Bounds admission.Bounds
-	// Policy makes the policy of each queue; nil means admission.NewShortest.
+	// Policy makes the policy of each queue; nil means admission.NewShortestJobFirst.
 	Policy func() admission.Policy
 	// ConfirmTimeout bounds the wait for a majority after a commit; zero
 	// means the class's wait, at least minConfirmTimeout.
@@ -77,7 +77,7 @@
 		options.SilentAfter = defaultSilentAfter
 	}
 	if options.Policy == nil {
-		options.Policy = func() admission.Policy { return admission.NewShortest() }
+		options.Policy = func() admission.Policy { return admission.NewShortestJobFirst() }
 	}
 	o := &Owner{
 		opts:        options,
--- a/pool/liveness.go
+++ b/pool/liveness.go
@@ -6,9 +6,9 @@
 	"lovageslip/upstream"
 )
 
-// Activity is implemented by connections that can ask the server whether it is
+// ActivityChecker is implemented by connections that can ask the server whether it is
 // still executing a batch of another connection.
-type Activity interface {
+type ActivityChecker interface {
 	// Active reports whether the server is executing a batch of other.
 	Active(ctx context.Context, other upstream.Conn) (bool, error)
 }
@@ -19,17 +19,17 @@
 
 // Results of a probe.
 const (
-	// Unreachable means that no new connection could be opened, or that the
+	// ProbeUnreachable means that no new connection could be opened, or that the
 	// upstream did not answer a status query on it.
-	Unreachable ProbeResult = iota + 1
-	// Working means that the server is still executing the batch.
-	Working
-	// Idle means that the server executes nothing for the connection: the
+	ProbeUnreachable ProbeResult = iota + 1
+	// ProbeExecuting means that the server is still executing the batch.
+	ProbeExecuting
+	// ProbeIdle means that the server executes nothing for the connection: the
 	// batch or its answer was lost on the network.
-	Idle
-	// Unclear means that new connections work, but that the server could not
+	ProbeIdle
+	// ProbeInconclusive means that new connections work, but that the server could not
 	// tell whether it still executes the batch.
-	Unclear
+	ProbeInconclusive
 )
 
 // Probe asks the upstream over a new connection whether it still executes the
@@ -38,23 +38,23 @@
 func (p *Pool) Probe(ctx context.Context, suspect upstream.Conn) ProbeResult {
 	conn, err := p.opts.Dialer.Dial(ctx, p.opts.Address, p.opts.Database)
 	if err != nil {
-		return Unreachable
+		return ProbeUnreachable
 	}
 	defer func() { _ = conn.Close() }()
 	if _, err := conn.Status(ctx); err != nil {
-		return Unreachable
+		return ProbeUnreachable
 	}
-	activity, ok := conn.(Activity)
+	activity, ok := conn.(ActivityChecker)
 	if !ok {
-		return Unclear
+		return ProbeInconclusive
 	}
 	active, err := activity.Active(ctx, suspect)
 	switch {
 	case err != nil:
-		return Unclear
+		return ProbeInconclusive
 	case active:
-		return Working
+		return ProbeExecuting
 	default:
-		return Idle
+		return ProbeIdle
 	}
 }
--- a/session/session.go
+++ b/session/session.go
@@ -102,10 +102,10 @@
 	return h.Sum(nil)
 }
 
-// Merge returns the later of two positions of one database. Both must be positions
+// Later returns the later of two positions of one database. Both must be positions
 // of acknowledged commits; the history up to the later one then includes the
 // earlier one.
-func Merge(a, b upstream.Position) upstream.Position {
+func Later(a, b upstream.Position) upstream.Position {
 	if a.Before(b) {
 		return b
 	}
--- a/upstream/pgupstream/activity.go
+++ b/upstream/pgupstream/activity.go
@@ -9,7 +9,7 @@
 	"lovageslip/upstream"
 )
 
-var _ pool.Activity = (*Conn)(nil)
+var _ pool.ActivityChecker = (*Conn)(nil)
 
 const (
 	activitySQL = "SELECT state, wait_event FROM pg_stat_activity WHERE pid = "
