--- a/caller/pgcaller/fake_test.go
+++ b/caller/pgcaller/fake_test.go
@@ -107,7 +107,7 @@
 	return nil
 }
 
-func (s *fakeStream) Run(ctx context.Context, batch upstream.Batch, sink upstream.Sink) (exchange.Done, error) {
+func (s *fakeStream) Run(ctx context.Context, batch upstream.Batch, sink upstream.Sink) (exchange.BatchResult, error) {
 	if s.state == 0 {
 		s.state = upstream.StateIdle
 	}
@@ -127,10 +127,10 @@
 	out        []byte
 	statements map[string]string
 	portals    map[string]string
-	done       exchange.Done
+	done       exchange.BatchResult
 }
 
-func (r *fakeRun) runAll() (exchange.Done, error) {
+func (r *fakeRun) runAll() (exchange.BatchResult, error) {
 	backend := pgproto3.NewBackend(strings.NewReader(string(r.batch.Payload)), nil)
 	for {
 		message, err := backend.Receive()
@@ -138,11 +138,11 @@
 			break
 		}
 		if err := r.handle(message); err != nil {
-			return exchange.Done{}, err
+			return exchange.BatchResult{}, err
 		}
 	}
 	if err := r.sink(r.out); err != nil {
-		return exchange.Done{}, &sinkFailed{}
+		return exchange.BatchResult{}, &sinkFailed{}
 	}
 	r.done.State = r.stream.state
 	return r.done, nil
@@ -268,7 +268,7 @@
 // startLocal starts a proxy whose owner is in the same process.
 func startLocal(t testing.TB, owner *fakeOwner, change ...func(*pgcaller.Options)) *testHost {
 	t.Helper()
-	return start(t, owner, &exchange.Local{Address: ownerAddress, Handler: owner}, ownerAddress, change...)
+	return start(t, owner, &exchange.LocalGateway{Address: ownerAddress, Handler: owner}, ownerAddress, change...)
 }
 
 // startRemote starts a proxy whose owner is behind the connect-go transport.
--- a/daemon/proxy.go
+++ b/daemon/proxy.go
@@ -117,7 +117,7 @@
 	p.exchanges = exchange.NewDrainableServer(p.owner)
 	p.client = exchange.NewClient(exchange.ClientOptions{HTTP: httpClient, Log: log, Metrics: scope})
 	router := route.New(route.Options{DataCentre: s.DataCentre, Log: log, Metrics: scope})
-	gateway := &exchange.Local{Address: s.Advertise, Handler: p.owner, Remote: p.client}
+	gateway := &exchange.LocalGateway{Address: s.Advertise, Handler: p.owner, Remote: p.client}
 	p.callers = pgcaller.New(pgcaller.Options{
 		Entry: entry.New(entry.Options{
 			Directory: p.agent, Gateway: gateway, Router: router, Tokens: signer,
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func (a *attempt) run(ctx context.Context) (exchange.Done, error) {
+func (a *attempt) run(ctx context.Context) (exchange.BatchResult, error) {
 	for {
 		// The channel is read before the view, so that no change between the
 		// two is missed.
@@ -67,7 +67,7 @@
 			return done, nil
 		}
 		if !a.prepareRetry(ctx, err, changed) {
-			return exchange.Done{}, a.entry.finalError(a.callerError(ctx, err), a.class.Name, a.class.Wait)
+			return exchange.BatchResult{}, a.entry.finalError(a.callerError(ctx, err), a.class.Name, a.class.Wait)
 		}
 		a.tries++
 	}
@@ -90,20 +90,20 @@
 	return err
 }
 
-func (a *attempt) try(ctx context.Context) (exchange.Done, error) {
+func (a *attempt) try(ctx context.Context) (exchange.BatchResult, error) {
 	view, err := a.entry.view()
 	if err != nil {
-		return exchange.Done{}, err
+		return exchange.BatchResult{}, err
 	}
 	if err := a.choose(view); err != nil {
-		return exchange.Done{}, err
+		return exchange.BatchResult{}, err
 	}
 	if err := a.sleep(ctx, a.chosen.Delay); err != nil {
-		return exchange.Done{}, err
+		return exchange.BatchResult{}, err
 	}
 	stream, err := a.entry.gateway.OpenAt(ctx, a.chosen.Upstream.OwnerAddress, a.open(view))
 	if err != nil {
-		return exchange.Done{}, err
+		return exchange.BatchResult{}, err
 	}
 	return a.exchange(ctx, stream)
 }
@@ -154,7 +154,7 @@
 
 // exchange runs the batch. If it leaves a transaction open, the stream is pinned
 // to the session.
-func (a *attempt) exchange(ctx context.Context, stream exchange.Stream) (exchange.Done, error) {
+func (a *attempt) exchange(ctx context.Context, stream exchange.Stream) (exchange.BatchResult, error) {
 	name := a.chosen.Upstream.Name
 	a.session.setStream(stream)
 	defer a.session.setStream(nil)
@@ -166,7 +166,7 @@
 		_ = stream.Close() // the exchange has ended with the error
 		return done, err
 	}
-	a.entry.router.RequestFinished(name, time.Since(begun)-done.Spent)
+	a.entry.router.RequestFinished(name, time.Since(begun)-done.OwnerTime)
 	a.entry.router.RecordHint(done.Hint)
 	if done.State == upstream.StateIdle {
 		_ = stream.Close() // nothing is open on it
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestWriteRefusedOnAReplicaIsRerunOnThePrimaryExactlyOnce(t *testing.T) {
-	h := newHarness(t, func(_ context.Context, t try, _ upstream.Sink) (exchange.Done, error) {
+	h := newHarness(t, func(_ context.Context, t try, _ upstream.Sink) (exchange.BatchResult, error) {
 		if t.batch.Mode == upstream.ModeRead {
 			return notRun(fault.ReasonReadOnly)
 		}
@@ -44,7 +44,7 @@
 }
 
 func TestReadOnlyRefusalOfTheRerunIsFinal(t *testing.T) {
-	h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.Done, error) {
+	h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.BatchResult, error) {
 		return notRun(fault.ReasonReadOnly)
 	})
 	_, err := h.session(t, "report").Run(t.Context(), request("select write()"), discard)
@@ -53,7 +53,7 @@
 }
 
 func TestUnknownOutcomeOfAWriteWithoutRequestIDIsNeverRetried(t *testing.T) {
-	h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.Done, error) { return unknownOutcome() })
+	h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.BatchResult, error) { return unknownOutcome() })
 	_, err := h.session(t, "current").Run(t.Context(), request("insert into t"), discard)
 	var unknown *fault.OutcomeUnknown
 	assert.Assert(t, errors.As(err, &unknown))
@@ -62,7 +62,7 @@
 
 func TestUnknownOutcomeOfAWriteWithRequestIDIsRetriedUnderTheSameID(t *testing.T) {
 	failures := 1
-	h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.Done, error) {
+	h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.BatchResult, error) {
 		if failures > 0 {
 			failures--
 			return unknownOutcome()
@@ -81,7 +81,7 @@
 func TestRefusalAfterAnUnknownOutcomeIsNeverReportedAsNotRun(t *testing.T) {
 	for _, text := range []string{"insert into t", "select 1"} {
 		tries := 0
-		h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.Done, error) {
+		h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.BatchResult, error) {
 			tries++
 			if tries == 1 {
 				return unknownOutcome()
@@ -98,7 +98,7 @@
 }
 
 func TestRequestIDSurvivesABatchThatOnlyPrepares(t *testing.T) {
-	h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.Done, error) { return idle() })
+	h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.BatchResult, error) { return idle() })
 	s := h.session(t, "current")
 	assert.NilError(t, s.SetRequestID("order-1"))
 	_, err := s.Run(t.Context(), request(), discard)
@@ -113,7 +113,7 @@
 	}{"nothing sent": {false, 2}, "answer begun": {true, 1}} {
 		t.Run(name, func(t *testing.T) {
 			failures := 1
-			h := newHarness(t, func(_ context.Context, _ try, sink upstream.Sink) (exchange.Done, error) {
+			h := newHarness(t, func(_ context.Context, _ try, sink upstream.Sink) (exchange.BatchResult, error) {
 				if failures == 0 {
 					return idle()
 				}
@@ -133,7 +133,7 @@
 }
 
 func TestTokenWorksOnAnotherProxyAndALaggingReplicaIsNotUsed(t *testing.T) {
-	behaviour := func(_ context.Context, t try, _ upstream.Sink) (exchange.Done, error) {
+	behaviour := func(_ context.Context, t try, _ upstream.Sink) (exchange.BatchResult, error) {
 		if t.upstream == "u1" {
 			return committed(50)
 		}
@@ -166,7 +166,7 @@
 
 func TestRetryBudgetHoldsAtOverload(t *testing.T) {
 	served := 0
-	h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.Done, error) {
+	h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.BatchResult, error) {
 		served++
 		if served%2 == 0 {
 			return notRun(fault.ReasonQueueFull)
@@ -186,7 +186,7 @@
 }
 
 func TestOverloadedPrimaryRefusesAWriteAtOnce(t *testing.T) {
-	h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.Done, error) {
+	h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.BatchResult, error) {
 		return notRun(fault.ReasonQueueFull)
 	})
 	_, err := h.session(t, "current").Run(t.Context(), request("insert into t"), discard)
@@ -196,7 +196,7 @@
 }
 
 func TestWriteWaitsForTheNewPrimary(t *testing.T) {
-	h := newHarness(t, func(_ context.Context, t try, _ upstream.Sink) (exchange.Done, error) { return committed(1) })
+	h := newHarness(t, func(_ context.Context, t try, _ upstream.Sink) (exchange.BatchResult, error) { return committed(1) })
 	h.directory.replace(view(2, ""))
 	s := h.session(t, "current")
 	var group conc.WaitGroup
@@ -219,7 +219,7 @@
 
 func TestConfigBehindIsRetriedWithTheNewVersion(t *testing.T) {
 	h := newHarness(t, nil)
-	h.gateway.answer = func(_ context.Context, t try, _ upstream.Sink) (exchange.Done, error) {
+	h.gateway.answer = func(_ context.Context, t try, _ upstream.Sink) (exchange.BatchResult, error) {
 		if t.open.ConfigVersion < 2 {
 			h.directory.replace(view(2, "u1"))
 			return notRun(fault.ReasonConfigBehind)
@@ -235,11 +235,11 @@
 func TestTransactionIsPinnedToOneExchangeAndNeverRetried(t *testing.T) {
 	state := upstream.StateOpen
 	fail := false
-	h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.Done, error) {
+	h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.BatchResult, error) {
 		if fail {
 			return notRun(fault.ReasonUpstreamUnavailable)
 		}
-		return exchange.Done{State: state}, nil
+		return exchange.BatchResult{State: state}, nil
 	})
 	s := h.session(t, "current")
 	for _, text := range []string{"begin", "select 1", "insert into t"} {
@@ -258,8 +258,8 @@
 }
 
 func TestClosingASessionRollsItsTransactionBack(t *testing.T) {
-	h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.Done, error) {
-		return exchange.Done{State: upstream.StateOpen}, nil
+	h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.BatchResult, error) {
+		return exchange.BatchResult{State: upstream.StateOpen}, nil
 	})
 	s := h.session(t, "current")
 	_, err := s.Run(t.Context(), request("begin"), discard)
@@ -269,7 +269,7 @@
 }
 
 func TestCancelReachesTheRunningBatchAndEndsAWait(t *testing.T) {
-	h := newHarness(t, func(_ context.Context, t try, _ upstream.Sink) (exchange.Done, error) {
+	h := newHarness(t, func(_ context.Context, t try, _ upstream.Sink) (exchange.BatchResult, error) {
 		<-t.stream.cancelled
 		return notRun(fault.ReasonCancelled)
 	})
@@ -314,7 +314,7 @@
 }
 
 func TestKeywordDecidesTheFirstMode(t *testing.T) {
-	h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.Done, error) { return idle() })
+	h := newHarness(t, func(context.Context, try, upstream.Sink) (exchange.BatchResult, error) { return idle() })
 	s := h.session(t, "report")
 	for i, c := range []struct {
 		text string
--- a/entry/fake_test.go
+++ b/entry/fake_test.go
@@ -75,7 +75,7 @@
 }
 
 // answer is the reaction of a fake owner to a try.
-type answer func(ctx context.Context, t try, sink upstream.Sink) (exchange.Done, error)
+type answer func(ctx context.Context, t try, sink upstream.Sink) (exchange.BatchResult, error)
 
 // gateway is a fake Gateway. The owners of all upstreams give the same answer.
 type gateway struct {
@@ -114,7 +114,7 @@
 	cancelled chan struct{}
 }
 
-func (s *stream) Run(ctx context.Context, batch upstream.Batch, sink upstream.Sink) (exchange.Done, error) {
+func (s *stream) Run(ctx context.Context, batch upstream.Batch, sink upstream.Sink) (exchange.BatchResult, error) {
 	t := try{upstream: s.open.Upstream, batch: batch, open: s.open, stream: s}
 	s.gateway.mu.Lock()
 	s.gateway.tries = append(s.gateway.tries, t)
@@ -170,18 +170,20 @@
 	return entry.Request{Payload: []byte("payload"), Texts: texts}
 }
 
-func idle() (exchange.Done, error) { return exchange.Done{State: upstream.StateIdle}, nil }
+func idle() (exchange.BatchResult, error) {
+	return exchange.BatchResult{State: upstream.StateIdle}, nil
+}
 
-func committed(offset upstream.Offset) (exchange.Done, error) {
-	return exchange.Done{State: upstream.StateIdle, Commit: upstream.Position{Term: 1, Offset: offset}}, nil
+func committed(offset upstream.Offset) (exchange.BatchResult, error) {
+	return exchange.BatchResult{State: upstream.StateIdle, Commit: upstream.Position{Term: 1, Offset: offset}}, nil
 }
 
-func notRun(reason fault.Reason) (exchange.Done, error) {
-	return exchange.Done{}, &fault.NotRun{Reason: reason, Detail: "refused by the fake owner"}
+func notRun(reason fault.Reason) (exchange.BatchResult, error) {
+	return exchange.BatchResult{}, &fault.NotRun{Reason: reason, Detail: "refused by the fake owner"}
 }
 
-func unknownOutcome() (exchange.Done, error) {
-	return exchange.Done{}, &fault.OutcomeUnknown{Reason: fault.ReasonOutcomeUnknown, Detail: "link died"}
+func unknownOutcome() (exchange.BatchResult, error) {
+	return exchange.BatchResult{}, &fault.OutcomeUnknown{Reason: fault.ReasonOutcomeUnknown, Detail: "link died"}
 }
 
 // counter returns the value of the counter with a name and a label reason.
--- a/entry/session.go
+++ b/entry/session.go
@@ -194,7 +194,7 @@
 	s.pinned = nil
 }
 
-func (s *Session) finish(done exchange.Done) Reply {
+func (s *Session) finish(done exchange.BatchResult) Reply {
 	reply := Reply{State: done.State, DatabaseError: done.DatabaseError}
 	if done.Commit != (upstream.Position{}) {
 		s.advance(done.Commit)
--- a/exchange/client.go
+++ b/exchange/client.go
@@ -121,10 +121,10 @@
 }
 
 // Run implements Stream.
-func (s *clientStream) Run(ctx context.Context, batch upstream.Batch, sink upstream.Sink) (Done, error) {
+func (s *clientStream) Run(ctx context.Context, batch upstream.Batch, sink upstream.Sink) (BatchResult, error) {
 	link, err := s.acquire(ctx, batch.RequestID)
 	if err != nil {
-		return Done{}, err
+		return BatchResult{}, err
 	}
 	// If the caller's context ends, closing the link ends the stream, and the
 	// owner stops the batch.
@@ -133,7 +133,7 @@
 	reusable := stop() && link.reusable()
 	if err != nil {
 		s.detach(link, reusable)
-		return Done{}, withCancelReason(ctx, err)
+		return BatchResult{}, withCancelReason(ctx, err)
 	}
 	if done.State == stateIdle || !reusable {
 		s.detach(link, reusable)
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -35,22 +35,22 @@
 	DataAge      time.Duration
 	ExpectedWait time.Duration
 	Queued       int
-	// Interval is the mean time between two starts while the queue is not
+	// StartInterval is the mean time between two starts while the queue is not
 	// empty, and Slots how many statements run at a time.
-	Interval time.Duration
-	Slots    int
+	StartInterval time.Duration
+	Slots         int
 }
 
-// Done is the outcome of a batch that was answered completely.
-type Done struct {
+// BatchResult is the outcome of a batch that was answered completely.
+type BatchResult struct {
 	State upstream.TransactionState
 	// Commit is the position of the commit; zero if nothing was written.
 	Commit        upstream.Position
 	DatabaseError bool
-	// Spent is the time from the arrival of the batch at the owner to the
+	// OwnerTime is the time from the arrival of the batch at the owner to the
 	// end of its answer; the rest of what the entry measures is network time.
-	Spent time.Duration
-	Hint  Hint
+	OwnerTime time.Duration
+	Hint      Hint
 }
 
 // Stream is one exchange. Run is called by one goroutine at a time; Cancel and
@@ -61,7 +61,7 @@
 	// Errors: *fault.NotRun, *fault.OutcomeUnknown, *fault.AlreadyCommitted.
 	// After an error the exchange has ended and any transaction of it is
 	// rolled back.
-	Run(ctx context.Context, batch upstream.Batch, sink upstream.Sink) (Done, error)
+	Run(ctx context.Context, batch upstream.Batch, sink upstream.Sink) (BatchResult, error)
 	// Cancel cancels the batch that is running.
 	Cancel(ctx context.Context) error
 	// Close ends the exchange. An open transaction is rolled back.
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -19,14 +19,14 @@
 )
 
 func TestAllFieldsCrossTheWire(t *testing.T) {
-	done := exchange.Done{
+	done := exchange.BatchResult{
 		State:         upstream.StateIdle,
 		Commit:        upstream.Position{Term: 3, Offset: 17},
 		DatabaseError: true,
 		Hint: exchange.Hint{Upstream: "u1", Position: upstream.Position{Term: 3, Offset: 18}, Primary: true,
 			DataAge: time.Second, ExpectedWait: time.Millisecond, Queued: 4},
 	}
-	o := &fakeOwner{run: func(_ context.Context, b upstream.Batch, sink upstream.Sink) (exchange.Done, error) {
+	o := &fakeOwner{run: func(_ context.Context, b upstream.Batch, sink upstream.Sink) (exchange.BatchResult, error) {
 		return done, errors.Join(sink([]byte("one")), sink([]byte("two")))
 	}}
 	address := startServer(t, o).address
@@ -57,8 +57,8 @@
 		"committed": &fault.AlreadyCommitted{RequestID: "r1"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := &fakeOwner{run: func(context.Context, upstream.Batch, upstream.Sink) (exchange.Done, error) {
-				return exchange.Done{}, want
+			o := &fakeOwner{run: func(context.Context, upstream.Batch, upstream.Sink) (exchange.BatchResult, error) {
+				return exchange.BatchResult{}, want
 			}}
 			_, _, err := runBatch(t.Context(), newClient(t), startServer(t, o).address, "x")
 			assert.DeepEqual(t, err, want)
@@ -67,8 +67,8 @@
 }
 
 func TestUntypedErrorIsUnknownOutcome(t *testing.T) {
-	o := &fakeOwner{run: func(context.Context, upstream.Batch, upstream.Sink) (exchange.Done, error) {
-		return exchange.Done{}, errors.New("some failure")
+	o := &fakeOwner{run: func(context.Context, upstream.Batch, upstream.Sink) (exchange.BatchResult, error) {
+		return exchange.BatchResult{}, errors.New("some failure")
 	}}
 	_, _, err := runBatch(t.Context(), newClient(t), startServer(t, o).address, "x")
 	var unknown *fault.OutcomeUnknown
@@ -106,13 +106,13 @@
 // connection broke in the middle of it.
 func TestConnectionLossMidAnswerIsUnknownOutcome(t *testing.T) {
 	var s *testServer
-	o := &fakeOwner{run: func(ctx context.Context, _ upstream.Batch, sink upstream.Sink) (exchange.Done, error) {
+	o := &fakeOwner{run: func(ctx context.Context, _ upstream.Batch, sink upstream.Sink) (exchange.BatchResult, error) {
 		if err := sink([]byte("half")); err != nil {
-			return exchange.Done{}, err
+			return exchange.BatchResult{}, err
 		}
 		s.http.Close()
 		<-ctx.Done()
-		return exchange.Done{}, ctx.Err()
+		return exchange.BatchResult{}, ctx.Err()
 	}}
 	s = startServer(t, o)
 	_, _, err := runBatch(t.Context(), newClient(t), s.address, "x")
@@ -151,7 +151,7 @@
 func TestLateAnswerNeverReachesTheNextExchange(t *testing.T) {
 	release := make(chan struct{})
 	o := &fakeOwner{}
-	o.run = func(ctx context.Context, b upstream.Batch, sink upstream.Sink) (exchange.Done, error) {
+	o.run = func(ctx context.Context, b upstream.Batch, sink upstream.Sink) (exchange.BatchResult, error) {
 		if string(b.Payload) == "slow" {
 			<-release
 		}
@@ -209,7 +209,7 @@
 func TestCancelReachesTheRunningBatchOnly(t *testing.T) {
 	release := make(chan struct{})
 	o := &fakeOwner{}
-	o.run = func(ctx context.Context, b upstream.Batch, sink upstream.Sink) (exchange.Done, error) {
+	o.run = func(ctx context.Context, b upstream.Batch, sink upstream.Sink) (exchange.BatchResult, error) {
 		<-release
 		return echo(ctx, b, sink)
 	}
@@ -238,9 +238,9 @@
 }
 
 func TestCancelledCallerEndsTheBatchAndRollsBack(t *testing.T) {
-	o := &fakeOwner{run: func(ctx context.Context, _ upstream.Batch, _ upstream.Sink) (exchange.Done, error) {
+	o := &fakeOwner{run: func(ctx context.Context, _ upstream.Batch, _ upstream.Sink) (exchange.BatchResult, error) {
 		<-ctx.Done()
-		return exchange.Done{}, &fault.OutcomeUnknown{Reason: fault.ReasonCancelled}
+		return exchange.BatchResult{}, &fault.OutcomeUnknown{Reason: fault.ReasonCancelled}
 	}}
 	address := startServer(t, o).address
 	ctx, cancel := context.WithCancel(t.Context())
@@ -268,8 +268,8 @@
 }
 
 func TestTransactionStaysOnOneExchangeAndRollsBackOnClose(t *testing.T) {
-	o := &fakeOwner{run: func(context.Context, upstream.Batch, upstream.Sink) (exchange.Done, error) {
-		return exchange.Done{State: upstream.StateOpen}, nil
+	o := &fakeOwner{run: func(context.Context, upstream.Batch, upstream.Sink) (exchange.BatchResult, error) {
+		return exchange.BatchResult{State: upstream.StateOpen}, nil
 	}}
 	address := startServer(t, o).address
 	s, err := newClient(t).OpenAt(t.Context(), address, exchange.Open{})
--- a/exchange/fake_test.go
+++ b/exchange/fake_test.go
@@ -14,7 +14,7 @@
 )
 
 // runFunc answers one batch in place of a real owner.
-type runFunc func(ctx context.Context, batch upstream.Batch, sink upstream.Sink) (exchange.Done, error)
+type runFunc func(ctx context.Context, batch upstream.Batch, sink upstream.Sink) (exchange.BatchResult, error)
 
 // fakeOwner is a Handler that records exchanges, batches and cancels.
 type fakeOwner struct {
@@ -46,7 +46,7 @@
 
 type stream struct{ owner *fakeOwner }
 
-func (s *stream) Run(ctx context.Context, batch upstream.Batch, sink upstream.Sink) (exchange.Done, error) {
+func (s *stream) Run(ctx context.Context, batch upstream.Batch, sink upstream.Sink) (exchange.BatchResult, error) {
 	s.owner.mu.Lock()
 	s.owner.batches = append(s.owner.batches, batch)
 	s.owner.mu.Unlock()
@@ -68,11 +68,11 @@
 }
 
 // echo answers a batch with its payload.
-func echo(_ context.Context, batch upstream.Batch, sink upstream.Sink) (exchange.Done, error) {
+func echo(_ context.Context, batch upstream.Batch, sink upstream.Sink) (exchange.BatchResult, error) {
 	if err := sink(batch.Payload); err != nil {
-		return exchange.Done{}, err
+		return exchange.BatchResult{}, err
 	}
-	return exchange.Done{State: upstream.StateIdle}, nil
+	return exchange.BatchResult{State: upstream.StateIdle}, nil
 }
 
 // testServer serves a fakeOwner over HTTP/2.
@@ -103,10 +103,10 @@
 }
 
 // runBatch runs one batch on a new exchange and returns its answer.
-func runBatch(ctx context.Context, gateway exchange.Gateway, address, payload string) (string, exchange.Done, error) {
+func runBatch(ctx context.Context, gateway exchange.Gateway, address, payload string) (string, exchange.BatchResult, error) {
 	s, err := gateway.OpenAt(ctx, address, exchange.Open{Upstream: "u1", Class: "current"})
 	if err != nil {
-		return "", exchange.Done{}, err
+		return "", exchange.BatchResult{}, err
 	}
 	defer s.Close()
 	var answer []byte
--- a/exchange/link.go
+++ b/exchange/link.go
@@ -145,12 +145,12 @@
 	return err.Error()
 }
 
-func (l *link) run(batch upstream.Batch, sink upstream.Sink) (Done, error) {
+func (l *link) run(batch upstream.Batch, sink upstream.Sink) (BatchResult, error) {
 	if err := l.send(batch); err != nil {
 		// The transport stopped reading the request body before the end of
 		// the batch, so the owner can't have decoded and run the batch.
 		l.broken = true
-		return Done{}, &fault.NotRun{Reason: fault.ReasonUpstreamUnavailable, Detail: "stream to owner ended before the batch was sent"}
+		return BatchResult{}, &fault.NotRun{Reason: fault.ReasonUpstreamUnavailable, Detail: "stream to owner ended before the batch was sent"}
 	}
 	done, err := l.receive(sink)
 	l.mu.Lock()
@@ -181,20 +181,20 @@
 
 // receive passes the chunks of an answer to sink until the answer is complete or
 // the batch is refused.
-func (l *link) receive(sink upstream.Sink) (Done, error) {
+func (l *link) receive(sink upstream.Sink) (BatchResult, error) {
 	for {
 		response, err := l.stream.Receive()
 		if err != nil && neverStarted(err) {
 			l.broken = true
-			return Done{}, &fault.NotRun{Reason: fault.ReasonShutdown, Detail: "owner did not take the stream"}
+			return BatchResult{}, &fault.NotRun{Reason: fault.ReasonShutdown, Detail: "owner did not take the stream"}
 		}
 		if err != nil {
-			return Done{}, l.markBroken("stream to owner broke", err)
+			return BatchResult{}, l.markBroken("stream to owner broke", err)
 		}
 		switch m := response.GetMessage().(type) {
 		case *lovageslipv1.RunResponse_Chunk:
 			if err := sink(m.Chunk.GetPayload()); err != nil {
-				return Done{}, l.markBroken("caller did not take the answer", err)
+				return BatchResult{}, l.markBroken("caller did not take the answer", err)
 			}
 		case *lovageslipv1.RunResponse_Done:
 			return doneFromWire(m.Done), nil
@@ -202,9 +202,9 @@
 			// An owner that drains ends the stream with this message. A later
 			// batch on the stream would get no answer.
 			l.broken = m.Refused.GetReason() == lovageslipv1.Reason_REASON_SHUTDOWN
-			return Done{}, refusalFromWire(m.Refused)
+			return BatchResult{}, refusalFromWire(m.Refused)
 		default:
-			return Done{}, l.markBroken("owner sent an unknown message", nil)
+			return BatchResult{}, l.markBroken("owner sent an unknown message", nil)
 		}
 	}
 }
--- a/exchange/transport.go
+++ b/exchange/transport.go
@@ -62,16 +62,16 @@
 	server.HTTP2 = HTTP2Config()
 }
 
-// Local is a Gateway that calls this host's own Handler directly and passes
+// LocalGateway is a Gateway that calls this host's own Handler directly and passes
 // other addresses on.
-type Local struct {
+type LocalGateway struct {
 	Address string
 	Handler Handler
 	Remote  Gateway
 }
 
 // OpenAt implements Gateway.
-func (l *Local) OpenAt(ctx context.Context, address string, open Open) (Stream, error) {
+func (l *LocalGateway) OpenAt(ctx context.Context, address string, open Open) (Stream, error) {
 	if address == l.Address {
 		return l.Handler.Open(ctx, open)
 	}
--- a/exchange/wire.go
+++ b/exchange/wire.go
@@ -96,23 +96,23 @@
 	return batch
 }
 
-func doneToWire(d Done) *lovageslipv1.RunResponse {
+func doneToWire(d BatchResult) *lovageslipv1.RunResponse {
 	done := &lovageslipv1.BatchDone{
 		State:         lovageslipv1.TransactionState(d.State),
 		Commit:        positionToWire(d.Commit),
 		Hint:          hintToWire(d.Hint),
 		DatabaseError: d.DatabaseError,
-		SpentMicros:   d.Spent.Microseconds(),
+		SpentMicros:   d.OwnerTime.Microseconds(),
 	}
 	return &lovageslipv1.RunResponse{Message: &lovageslipv1.RunResponse_Done{Done: done}}
 }
 
-func doneFromWire(d *lovageslipv1.BatchDone) Done {
-	return Done{
+func doneFromWire(d *lovageslipv1.BatchDone) BatchResult {
+	return BatchResult{
 		State:         upstream.TransactionState(d.GetState()),
 		Commit:        positionFromWire(d.GetCommit()),
 		DatabaseError: d.GetDatabaseError(),
-		Spent:         micros(d.GetSpentMicros()),
+		OwnerTime:     micros(d.GetSpentMicros()),
 		Hint:          hintFromWire(d.GetHint()),
 	}
 }
@@ -126,21 +126,21 @@
 		DataAgeMicros:      h.DataAge.Microseconds(),
 		ExpectedWaitMicros: h.ExpectedWait.Microseconds(),
 		Queued:             uint32(h.Queued),
-		IntervalMicros:     h.Interval.Microseconds(),
+		IntervalMicros:     h.StartInterval.Microseconds(),
 		Slots:              uint32(h.Slots),
 	}
 }
 
 func hintFromWire(h *lovageslipv1.UpstreamHint) Hint {
 	return Hint{
-		Upstream:     h.GetUpstream(),
-		Position:     upstream.Position{Term: upstream.Term(h.GetTerm()), Offset: upstream.Offset(h.GetOffset())},
-		Primary:      h.GetPrimary(),
-		DataAge:      micros(h.GetDataAgeMicros()),
-		ExpectedWait: micros(h.GetExpectedWaitMicros()),
-		Queued:       int(h.GetQueued()),
-		Interval:     micros(h.GetIntervalMicros()),
-		Slots:        int(h.GetSlots()),
+		Upstream:      h.GetUpstream(),
+		Position:      upstream.Position{Term: upstream.Term(h.GetTerm()), Offset: upstream.Offset(h.GetOffset())},
+		Primary:       h.GetPrimary(),
+		DataAge:       micros(h.GetDataAgeMicros()),
+		ExpectedWait:  micros(h.GetExpectedWaitMicros()),
+		Queued:        int(h.GetQueued()),
+		StartInterval: micros(h.GetIntervalMicros()),
+		Slots:         int(h.GetSlots()),
 	}
 }
 
--- a/owner/fake_test.go
+++ b/owner/fake_test.go
@@ -339,7 +339,7 @@
 }
 
 // runBatch runs one batch on a new exchange and returns the answer's text.
-func runBatch(t *testing.T, o *Owner, name, class string, b upstream.Batch) (exchange.Done, string, error) {
+func runBatch(t *testing.T, o *Owner, name, class string, b upstream.Batch) (exchange.BatchResult, string, error) {
 	t.Helper()
 	s := openExchange(t, o, name, class)
 	defer func() { _ = s.Close() }()
--- a/owner/stream.go
+++ b/owner/stream.go
@@ -46,10 +46,10 @@
 }
 
 // Run executes a batch; see exchange.Stream.
-func (s *stream) Run(ctx context.Context, batch upstream.Batch, sink upstream.Sink) (exchange.Done, error) {
+func (s *stream) Run(ctx context.Context, batch upstream.Batch, sink upstream.Sink) (exchange.BatchResult, error) {
 	pinned, err := s.beginBatch()
 	if err != nil {
-		return exchange.Done{}, err
+		return exchange.BatchResult{}, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -192,16 +192,16 @@
 	restarted bool
 }
 
-func (j *job) run(ctx context.Context) (exchange.Done, error) {
+func (j *job) run(ctx context.Context) (exchange.BatchResult, error) {
 	if err := j.admit(ctx); err != nil {
 		j.discardConn()
-		return exchange.Done{}, err
+		return exchange.BatchResult{}, err
 	}
 	j.freshness = j.stream.upstream.freshness(j.class, j.arrived)
 	defer j.freshness.done()
 	result, err := j.execute(ctx)
 	if err != nil {
-		return exchange.Done{}, err
+		return exchange.BatchResult{}, err
 	}
 	return j.complete(ctx, result)
 }
@@ -213,22 +213,22 @@
 
 // complete passes the withheld end of the answer to the caller once the commit
 // is confirmed. It holds no slot and no connection while it waits.
-func (j *job) complete(ctx context.Context, r upstream.Result) (exchange.Done, error) {
-	done := exchange.Done{State: r.State, DatabaseError: r.DatabaseError}
+func (j *job) complete(ctx context.Context, r upstream.Result) (exchange.BatchResult, error) {
+	done := exchange.BatchResult{State: r.State, DatabaseError: r.DatabaseError}
 	if r.Committed {
 		if err := j.confirmCommit(ctx, r.After); err != nil {
 			j.discardConn()
-			return exchange.Done{}, err
+			return exchange.BatchResult{}, err
 		}
 		done.Commit = r.After.Position()
 	}
 	if len(r.Tail) > 0 {
 		if err := j.sink(r.Tail); err != nil {
 			j.discardConn()
-			return exchange.Done{}, j.outcomeUnknown(err)
+			return exchange.BatchResult{}, j.outcomeUnknown(err)
 		}
 	}
-	done.Spent = time.Since(j.arrived)
+	done.OwnerTime = time.Since(j.arrived)
 	done.Hint = j.stream.upstream.hint()
 	return done, nil
 }
--- a/owner/unit.go
+++ b/owner/unit.go
@@ -118,7 +118,7 @@
 		ExpectedWait: u.queue.ExpectedWait(),
 		Queued:       u.queue.Queued(),
 	}
-	hint.Interval, hint.Slots = u.queue.Capacity()
+	hint.StartInterval, hint.Slots = u.queue.Capacity()
 	if hasStatus {
 		hint.Position = status.Position()
 		hint.Primary = u.isPrimary(status)
--- a/route/state.go
+++ b/route/state.go
@@ -159,6 +159,6 @@
 		return load
 	}
 	hintedWait := s.hint.ExpectedWait - now.Sub(s.hintAt)
-	ownWait := time.Duration(outstanding-s.hint.Slots+1) * s.hint.Interval
+	ownWait := time.Duration(outstanding-s.hint.Slots+1) * s.hint.StartInterval
 	return load + max(0, hintedWait, ownWait)
 }
