--- a/sitecontrol/host_test.go
+++ b/sitecontrol/host_test.go
@@ -60,7 +60,7 @@
 func (f *fakeUpstreams) Position(ctx context.Context, u *pb.SiteUpstream) (upstream.Position, error) {
 	s, err := f.Status(ctx, u)
 	if err == nil && s.Role != upstream.RolePrimary {
-		err = &NotLeading{ID: u.Id}
+		err = &NotPrimary{ID: u.Id}
 	}
 	return s.Received, err
 }
--- a/sitecontrol/primary.go
+++ b/sitecontrol/primary.go
@@ -152,7 +152,7 @@
 	w.probedAt = now()
 	err := w.probePrimaryRole(ctx, primary)
 	var busy *BusyUpstream
-	var notPrimary *NotLeading
+	var notPrimary *NotPrimary
 	if errors.As(err, &notPrimary) {
 		w.findPrimary(ctx, append(others, primary), g)
 		return
--- a/sitecontrol/server.go
+++ b/sitecontrol/server.go
@@ -41,7 +41,7 @@
 type Prober interface {
 	Status(ctx context.Context, u *pb.SiteUpstream) (UpstreamStatus, error)
 	// Position returns the position that the upstream holds if it is a
-	// primary, and *NotLeading if it is not. It needs no slot.
+	// primary, and *NotPrimary if it is not. It needs no slot.
 	Position(ctx context.Context, u *pb.SiteUpstream) (upstream.Position, error)
 	// StepDown makes an upstream that is the primary of a lower term than the
 	// given one a replica, and returns its status after that.
@@ -53,10 +53,10 @@
 
 func (e *BusyUpstream) Error() string { return "upstream " + e.ID + " has no free slot" }
 
-// NotLeading reports an upstream that answered that it is not a primary.
-type NotLeading struct{ ID string }
+// NotPrimary reports an upstream that answered that it is not a primary.
+type NotPrimary struct{ ID string }
 
-func (e *NotLeading) Error() string { return "upstream " + e.ID + " is not a primary" }
+func (e *NotPrimary) Error() string { return "upstream " + e.ID + " is not a primary" }
 
 // Promoter orders the platform to promote an upstream. A call that fails without
 // an answer may still be carried out later, unless an order with a higher token
--- a/sitecontrol/standby.go
+++ b/sitecontrol/standby.go
@@ -102,10 +102,10 @@
 	return s.memberAddresses(), ""
 }
 
-// StandbyFor returns the IP of the leading control host if this host stands by
+// StandbyLeaderHost returns the IP of the leading control host if this host stands by
 // and knows the leader. Calls are to be sent there, because a host that stands
 // by cannot serve them.
-func (s *Server) StandbyFor() (host string, ok bool) {
+func (s *Server) StandbyLeaderHost() (host string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.standby == nil || s.standby.leader == "" {
--- a/sitecontrol/standby_test.go
+++ b/sitecontrol/standby_test.go
@@ -30,7 +30,7 @@
 		return len(standbys) == 3 && votersOf(hosts[0]) == limit
 	})
 
-	leader, ok := standbys[0].server.StandbyFor()
+	leader, ok := standbys[0].server.StandbyLeaderHost()
 	assert.Assert(t, ok)
 	hostIP, _, _ := net.SplitHostPort(hosts[0].address)
 	assert.Equal(t, leader, hostIP, "all hosts of the test have one IP")
