--- a/consensus/status.go
+++ b/consensus/status.go
@@ -37,10 +37,10 @@
 	Member
 	// Match is the last entry that the member is known to have synced.
 	Match uint64
-	// Silent is the age of the leader's last contact with the member. It
+	// ContactAge is the age of the leader's last contact with the member. It
 	// counts from when the latest request that the member answered was sent,
 	// or from when this host began to lead if the member has answered none.
-	Silent time.Duration
+	ContactAge time.Duration
 	// WrongIncarnation is true if the member runs on another data folder
 	// than the one it was added with. It counts towards no quorum until it
 	// is removed and added again.
@@ -93,7 +93,7 @@
 	if lastContact.Before(n.leadership.startedAt) {
 		lastContact = n.leadership.startedAt
 	}
-	s.Silent = bootclock.Since(lastContact)
+	s.ContactAge = bootclock.Since(lastContact)
 	s.WrongIncarnation = p.incarnation != "" && p.incarnation != m.Incarnation && !n.logEmptyLocked()
 	return s
 }
--- a/sitecontrol/membership.go
+++ b/sitecontrol/membership.go
@@ -162,7 +162,7 @@
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	err := s.options.Consensus.RemoveMember(ctx, m.Name)
-	s.log.Info("removal of a control host from the members requested", "member", m.Name, "reason", reason, "silent", m.Silent, "error", err)
+	s.log.Info("removal of a control host from the members requested", "member", m.Name, "reason", reason, "silent", m.ContactAge, "error", err)
 }
 
 // memberToRemove returns a member that is to be removed, and the reason. A
@@ -179,11 +179,11 @@
 		if m.Voter {
 			voters++
 		}
-		if m.Voter && m.Silent > silent.Silent {
+		if m.Voter && m.ContactAge > silent.ContactAge {
 			silent = m
 		}
 	}
-	if voters > s.neededVoters() && silent.Silent > silentVoterTimeout {
+	if voters > s.neededVoters() && silent.ContactAge > silentVoterTimeout {
 		return silent, "replaced", true
 	}
 	return consensus.MemberStatus{}, "", false
--- a/sitecontrol/standby.go
+++ b/sitecontrol/standby.go
@@ -76,7 +76,7 @@
 		if m.Address == address {
 			return true
 		}
-		if !m.WrongIncarnation && m.Silent <= silentVoterTimeout {
+		if !m.WrongIncarnation && m.ContactAge <= silentVoterTimeout {
 			running++
 		}
 	}
--- a/sitecontrol/standby_test.go
+++ b/sitecontrol/standby_test.go
@@ -59,7 +59,7 @@
 	members := make([]consensus.MemberStatus, maxMembers-1)
 	assert.Assert(t, s.mayBecomeMember("new", members))
 	assert.Assert(t, !s.mayBecomeMember("new", append(members, consensus.MemberStatus{})))
-	members[0].Silent = 2 * silentVoterTimeout
+	members[0].ContactAge = 2 * silentVoterTimeout
 	assert.Assert(t, s.mayBecomeMember("new", append(members, consensus.MemberStatus{})), "one of them has ended")
 }
 
