--- a/admission/admission.go
+++ b/admission/admission.go
@@ -204,7 +204,7 @@
 }
 
 func (q *Queue) refuse(w *waiter, reason fault.Reason, detail string, drain time.Duration) error {
-	metrics.Refused(q.metrics, w.Class, reason)
+	metrics.CountRefusal(q.metrics, w.Class, reason)
 	return &fault.NotRun{Reason: reason, Detail: detail, RetryAfter: retryAfter(drain)}
 }
 
--- a/cmd/lovageslip-site/main.go
+++ b/cmd/lovageslip-site/main.go
@@ -43,7 +43,7 @@
 }
 
 func main() {
-	out := logging.NewBounded(os.Stdout)
+	out := logging.NewBoundedWriter(os.Stdout)
 	log := logging.New(out, slog.LevelInfo, logging.FormatJSON)
 	// Libraries that log through the packages log and slog then write to it
 	// as well.
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -80,7 +80,7 @@
 		populate(state, hosts)
 		size := 0
 		for b.Loop() {
-			data, err := proto.Marshal(state.Frame().Whole())
+			data, err := proto.Marshal(state.Frame().WholeMessage())
 			assert.NilError(b, err)
 			size = len(data)
 		}
@@ -104,7 +104,7 @@
 			state.Apply(0, cmd)
 			version++
 			next := state.Frame()
-			data, err := proto.Marshal(next.Since(old))
+			data, err := proto.Marshal(next.ChangesSince(old))
 			assert.NilError(b, err)
 			old, size = next, len(data)
 		}
--- a/control/classes.go
+++ b/control/classes.go
@@ -18,7 +18,7 @@
 }
 
 func (s *Server) changeClass(ctx context.Context, _ *leadership, r *pb.ChangeClassRequest) (*pb.ChangeClassResponse, error) {
-	if r.GetDryRun() || len(controlstate.Problems(r)) > 0 {
+	if r.GetDryRun() || len(controlstate.ValidateClassChange(r)) > 0 {
 		if _, err := s.consensus.ReadIndex(ctx); err != nil {
 			return nil, err
 		}
--- a/control/status.go
+++ b/control/status.go
@@ -22,7 +22,7 @@
 	}
 	applied, _ := s.consensus.Applied()
 	frame := s.state.Frame()
-	whole := frame.Whole()
+	whole := frame.WholeMessage()
 	return &pb.StatusResponse{
 		Host:      s.name,
 		Leader:    s.name,
--- a/control/watch.go
+++ b/control/watch.go
@@ -38,9 +38,9 @@
 // already holds it: equal versions mean equal states.
 func firstMessage(frame *controlstate.Frame, callerVersion uint64) *pb.WatchResponse {
 	if callerVersion != 0 && callerVersion == frame.Version {
-		return frame.Since(frame)
+		return frame.ChangesSince(frame)
 	}
-	return frame.Whole()
+	return frame.WholeMessage()
 }
 
 func (s *Server) streamChanges(ctx context.Context, sent *controlstate.Frame, send func(*pb.WatchResponse) error) error {
@@ -64,7 +64,7 @@
 			return ctx.Err()
 		case <-changed:
 		case <-ticker.C:
-			if err := send(sent.Since(sent)); err != nil {
+			if err := send(sent.ChangesSince(sent)); err != nil {
 				return err
 			}
 		}
@@ -84,7 +84,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.message == nil || c.from != from || c.to != to {
-		c.from, c.to, c.message = from, to, to.Since(from)
+		c.from, c.to, c.message = from, to, to.ChangesSince(from)
 	}
 	return c.message
 }
--- a/controlstate/classes.go
+++ b/controlstate/classes.go
@@ -33,10 +33,10 @@
 	return &pb.Class{Name: c.Name, WaitMicros: c.Wait.Microseconds(), AgeMicros: c.Age.Microseconds()}
 }
 
-// Problems validates a class change. It returns the reasons why the
+// ValidateClassChange validates a class change. It returns the reasons why the
 // change can't be accepted in any state, or none. The result depends on the
 // request alone.
-func Problems(r *pb.ChangeClassRequest) []string {
+func ValidateClassChange(r *pb.ChangeClassRequest) []string {
 	var problems []string
 	if r.GetChangeId() == "" || len(r.GetChangeId()) > maxChangeIDBytes {
 		problems = append(problems, "change_id: must have 1 to 128 bytes")
@@ -67,7 +67,7 @@
 		return first
 	}
 	response := s.evaluateClassChange(r)
-	if len(Problems(r)) > 0 {
+	if len(ValidateClassChange(r)) > 0 {
 		return response
 	}
 	if isAccepted(response) {
@@ -80,7 +80,7 @@
 // evaluateClassChange returns the answer to a class change in the current state,
 // without applying the change.
 func (s *State) evaluateClassChange(r *pb.ChangeClassRequest) *pb.ChangeClassResponse {
-	if problems := Problems(r); len(problems) > 0 {
+	if problems := ValidateClassChange(r); len(problems) > 0 {
 		return &pb.ChangeClassResponse{Version: s.classVersion, Problems: problems}
 	}
 	if r.GetExpectedVersion() != s.classVersion {
--- a/controlstate/state_test.go
+++ b/controlstate/state_test.go
@@ -222,7 +222,7 @@
 		s := controlstate.New(controlstate.Options{})
 		var other *controlstate.State
 		old := s.Frame()
-		received := controlstate.FrameOf(old.Whole())
+		received := controlstate.FrameFromMessage(old.WholeMessage())
 		for range rapid.IntRange(1, 40).Draw(t, "commands") {
 			cmd := drawCommand(t)
 			result := apply(s, cmd)
@@ -237,7 +237,7 @@
 			}
 			if rapid.Bool().Draw(t, "watch") {
 				next := s.Frame()
-				received = received.With(next.Since(old))
+				received = received.WithChanges(next.ChangesSince(old))
 				old = next
 				assert.DeepEqual(t, received.View(), next.View())
 			}
--- a/controlstate/watch.go
+++ b/controlstate/watch.go
@@ -6,8 +6,8 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// Whole returns the whole frame as the first message of a Watch stream.
-func (f *Frame) Whole() *pb.WatchResponse {
+// WholeMessage returns the whole frame as the first message of a Watch stream.
+func (f *Frame) WholeMessage() *pb.WatchResponse {
 	return &pb.WatchResponse{
 		Version:       f.Version,
 		ConfigVersion: f.ConfigVersion,
@@ -19,9 +19,9 @@
 	}
 }
 
-// Since returns the changes from an earlier frame of the same state to f,
+// ChangesSince returns the changes from an earlier frame of the same state to f,
 // as a message of a Watch stream. Without a change, it has the versions only.
-func (f *Frame) Since(old *Frame) *pb.WatchResponse {
+func (f *Frame) ChangesSince(old *Frame) *pb.WatchResponse {
 	m := &pb.WatchResponse{Version: f.Version, ConfigVersion: f.ConfigVersion}
 	if f.Version == old.Version {
 		return m
@@ -56,8 +56,8 @@
 	return changed, removed
 }
 
-// FrameOf returns the frame of the first message of a Watch stream.
-func FrameOf(m *pb.WatchResponse) *Frame {
+// FrameFromMessage returns the frame of the first message of a Watch stream.
+func FrameFromMessage(m *pb.WatchResponse) *Frame {
 	s := New(Options{})
 	s.version = m.GetVersion()
 	s.configVersion = m.GetConfigVersion()
@@ -65,8 +65,8 @@
 	return s.newFrame()
 }
 
-// With returns a new frame: f with the changes of a later message of the stream.
-func (f *Frame) With(m *pb.WatchResponse) *Frame {
+// WithChanges returns a new frame: f with the changes of a later message of the stream.
+func (f *Frame) WithChanges(m *pb.WatchResponse) *Frame {
 	s := New(Options{})
 	s.version = m.GetVersion()
 	s.configVersion = m.GetConfigVersion()
--- a/daemon/auth.go
+++ b/daemon/auth.go
@@ -34,7 +34,7 @@
 // without TLS: SCRAM hides the password, but not what is sent after the login,
 // and an active attacker can take over the connection then.
 func (p *proxy) warnAboutPlaintextLogins() {
-	if p.settings.Auth == settings.AuthSCRAM && !p.settings.TLSCallers.On() {
+	if p.settings.Auth == settings.AuthSCRAM && !p.settings.TLSCallers.Enabled() {
 		p.log.Warn("callers log in with passwords but without TLS; set [tls_callers]")
 	}
 }
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -157,7 +157,7 @@
 	a.mode = upstream.ModeWrite
 	a.excluded = nil
 	a.entry.writes.add(a.request.Texts)
-	metrics.Retried(a.entry.metrics, a.class.Name, fault.ReasonReadOnly)
+	metrics.CountRetry(a.entry.metrics, a.class.Name, fault.ReasonReadOnly)
 	return a.remaining() > 0
 }
 
@@ -190,7 +190,7 @@
 func (a *attempt) awaitRetry(ctx context.Context, reason fault.Reason, changed <-chan struct{}) bool {
 	wait := min(a.backoff(), a.remaining())
 	if a.awaitChange(ctx, wait, changed) {
-		metrics.Retried(a.entry.metrics, a.class.Name, reason)
+		metrics.CountRetry(a.entry.metrics, a.class.Name, reason)
 		return a.remaining() > 0
 	}
 	if ctx.Err() != nil {
@@ -228,10 +228,10 @@
 		return false
 	}
 	if !a.entry.budget.takeRetry(time.Now()) {
-		metrics.Refused(a.entry.metrics, a.class.Name, fault.ReasonRetryBudget)
+		metrics.CountRefusal(a.entry.metrics, a.class.Name, fault.ReasonRetryBudget)
 		return false
 	}
-	metrics.Retried(a.entry.metrics, a.class.Name, reason)
+	metrics.CountRetry(a.entry.metrics, a.class.Name, reason)
 	return true
 }
 
@@ -260,7 +260,7 @@
 // finalError counts an error that goes to the caller. It randomizes RetryAfter, so
 // that callers do not all retry at the same moment.
 func (e *Entry) finalError(err error, class string, wait time.Duration) error {
-	metrics.Refused(e.metrics, class, reasonOf(err))
+	metrics.CountRefusal(e.metrics, class, reasonOf(err))
 	var notRun *fault.NotRun
 	if !errors.As(err, &notRun) {
 		return err
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -24,11 +24,11 @@
 	reportInterval = time.Second
 )
 
-// Bounded is a log writer that never blocks. It drops lines that exceed the
+// BoundedWriter is a log writer that never blocks. It drops lines that exceed the
 // rate limit, and lines that arrive faster than the underlying writer takes them.
 // It reports in the log how many lines were dropped. It is safe for concurrent
 // use.
-type Bounded struct {
+type BoundedWriter struct {
 	out     io.Writer
 	queue   chan []byte
 	dropped atomic.Int64
@@ -37,10 +37,10 @@
 	limiter *rate.Limiter // in bytes
 }
 
-// NewBounded returns a writer that passes lines on to out. It starts a
+// NewBoundedWriter returns a writer that passes lines on to out. It starts a
 // goroutine for this, which Close ends.
-func NewBounded(out io.Writer) *Bounded {
-	b := &Bounded{
+func NewBoundedWriter(out io.Writer) *BoundedWriter {
+	b := &BoundedWriter{
 		out:     out,
 		queue:   make(chan []byte, maxQueuedLines),
 		stopped: make(chan struct{}),
@@ -52,7 +52,7 @@
 
 // Write queues one line. It reports success even if the line is dropped, because
 // a logger can't handle the error.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	if !b.limiter.AllowN(time.Now(), len(line)) {
 		b.dropped.Add(1)
 		return len(line), nil
@@ -66,15 +66,15 @@
 }
 
 // Dropped returns how many lines were dropped so far.
-func (b *Bounded) Dropped() int64 { return b.dropped.Load() }
+func (b *BoundedWriter) Dropped() int64 { return b.dropped.Load() }
 
 // Close writes the queued lines. Write must not be called afterwards.
-func (b *Bounded) Close() {
+func (b *BoundedWriter) Close() {
 	b.close.Do(func() { close(b.queue) })
 	<-b.stopped
 }
 
-func (b *Bounded) writeLines() {
+func (b *BoundedWriter) writeLines() {
 	defer close(b.stopped)
 	var reportedDrops int64
 	var reportedAt time.Time
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -20,7 +20,7 @@
 // Guards against a process that blocks because nothing reads its log.
 func TestBoundedNeverBlocks(t *testing.T) {
 	w := &blockedWriter{release: make(chan struct{})}
-	b := NewBounded(w)
+	b := NewBoundedWriter(w)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -43,7 +43,7 @@
 func TestBoundedReportsDroppedLines(t *testing.T) {
 	var mu sync.Mutex
 	var out bytes.Buffer
-	b := NewBounded(writerFunc(func(p []byte) (int, error) {
+	b := NewBoundedWriter(writerFunc(func(p []byte) (int, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		return out.Write(p)
--- a/member/watch.go
+++ b/member/watch.go
@@ -144,10 +144,10 @@
 		return nil
 	}
 	if m.GetWhole() {
-		a.replaceFrame(controlstate.FrameOf(m))
+		a.replaceFrame(controlstate.FrameFromMessage(m))
 		return nil
 	}
-	a.replaceFrame(frame.With(m))
+	a.replaceFrame(frame.WithChanges(m))
 	return nil
 }
 
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -39,13 +39,13 @@
 	return scope
 }
 
-// Refused counts a request that was refused, by class and reason.
-func Refused(scope tally.Scope, class string, reason fault.Reason) {
+// CountRefusal counts a request that was refused, by class and reason.
+func CountRefusal(scope tally.Scope, class string, reason fault.Reason) {
 	taggedByReason(scope, class, reason).Counter("refused_total").Inc(1)
 }
 
-// Retried counts a retry, by class and reason.
-func Retried(scope tally.Scope, class string, reason fault.Reason) {
+// CountRetry counts a retry, by class and reason.
+func CountRetry(scope tally.Scope, class string, reason fault.Reason) {
 	taggedByReason(scope, class, reason).Counter("retried_total").Inc(1)
 }
 
--- a/owner/admit.go
+++ b/owner/admit.go
@@ -24,7 +24,7 @@
 const minConnWait = 100 * time.Millisecond
 
 func (s *stream) countRefusal(reason fault.Reason) {
-	metrics.Refused(s.owner.metrics, s.open.Class, reason)
+	metrics.CountRefusal(s.owner.metrics, s.open.Class, reason)
 }
 
 // admit makes the checks that need no query to the upstream. A batch of an
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -168,7 +168,7 @@
 }
 
 func (o *Owner) refuse(class string, reason fault.Reason, detail string) *fault.NotRun {
-	metrics.Refused(o.metrics, class, reason)
+	metrics.CountRefusal(o.metrics, class, reason)
 	return &fault.NotRun{Reason: reason, Detail: detail}
 }
 
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -90,7 +90,7 @@
 		if a.done {
 			return a.reply
 		}
-		metrics.Retried(s.proxy.metrics, s.database, a.reason)
+		metrics.CountRetry(s.proxy.metrics, s.database, a.reason)
 		s.proxy.log.Info("proxy retries a statement", "request", st.ID, "database", s.database, "attempt", n+1,
 			"reason", a.reason, "upstream", a.upstream, "after", a.after, "wait", a.wait, "view", s.proxy.View().Index)
 		if now().Add(a.wait).After(deadline) {
--- a/settings/parser.go
+++ b/settings/parser.go
@@ -106,7 +106,7 @@
 func (p *parser) tlsHosts() TLS {
 	files := p.tls("tls_hosts", "certificate", "key", "authority")
 	files.Announcers = optional(p, "tls_hosts", "announcers", allowedFile, "", parseFile)
-	if files.Announcers != "" && !files.On() {
+	if files.Announcers != "" && !files.Enabled() {
 		p.addProblem("tls_hosts", "announcers", "", "needs certificate, key and authority", "")
 	}
 	return files
--- a/settings/security_test.go
+++ b/settings/security_test.go
@@ -31,7 +31,7 @@
 	assert.Equal(t, s.Passwords["app"], "with:colon")
 	assert.Assert(t, s.RequireTLS)
 	assert.Equal(t, s.Upstreams, Upstreams{User: "proxy", Password: secret})
-	assert.Assert(t, s.TLSUpstreams.On())
+	assert.Assert(t, s.TLSUpstreams.Enabled())
 	assert.Equal(t, s.TLSHosts.Announcers, filepath.Join(filepath.Dir(s.TLSHosts.Authority), "keys"))
 }
 
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -51,8 +51,8 @@
 	Announcers string
 }
 
-// On reports whether TLS is configured.
-func (t TLS) On() bool { return t.Certificate != "" || t.Authority != "" }
+// Enabled reports whether TLS is configured.
+func (t TLS) Enabled() bool { return t.Certificate != "" || t.Authority != "" }
 
 // Upstreams holds the user and password with which hosts log in to upstreams. The
 // zero value means the default user without a password.
@@ -189,7 +189,7 @@
 	if s.Auth == AuthSCRAM && len(s.Passwords) == 0 {
 		p.addProblem("callers", "password_file", "", "is required with auth = scram", allowedPassword)
 	}
-	if s.RequireTLS && !s.TLSCallers.On() {
+	if s.RequireTLS && !s.TLSCallers.Enabled() {
 		p.addProblem("callers", "require_tls", "", "needs [tls_callers] certificate and key", "")
 	}
 	return s, p.finish()
--- a/tlsconf/tlsconf.go
+++ b/tlsconf/tlsconf.go
@@ -41,7 +41,7 @@
 // has an authority, clients must present a certificate signed by it or by
 // s.Announcers. Errors: *BadFile.
 func Server(s settings.TLS) (*tls.Config, error) {
-	if !s.On() {
+	if !s.Enabled() {
 		return nil, nil
 	}
 	certificate, err := tls.LoadX509KeyPair(s.Certificate, s.Key)
@@ -60,7 +60,7 @@
 // Client returns the TLS configuration for connections to servers whose
 // certificates s.Authority signed, or nil if TLS is off. Errors: *BadFile.
 func Client(s settings.TLS) (*tls.Config, error) {
-	if !s.On() {
+	if !s.Enabled() {
 		return nil, nil
 	}
 	roots, err := newCertPool(s.Authority)
