--- a/daemon/proxy.go
+++ b/daemon/proxy.go
@@ -206,7 +206,7 @@
 		return false, "shutting down"
 	case p.agent.View() == nil:
 		return false, "no quorum-confirmed state yet"
-	case !p.agent.Current():
+	case !p.agent.ViewCurrent():
 		return false, "no contact with a quorum of the control hosts"
 	}
 	return true, ""
--- a/member/lease.go
+++ b/member/lease.go
@@ -183,9 +183,9 @@
 	return a.requiredVersion
 }
 
-// Current reports whether the view was current at some time within the last
+// ViewCurrent reports whether the view was current at some time within the last
 // lease. If it was not, this host has lost contact with the quorum.
-func (a *Agent) Current() bool {
+func (a *Agent) ViewCurrent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return time.Now().Before(a.viewCurrentUntil)
--- a/owner/fake_test.go
+++ b/owner/fake_test.go
@@ -279,7 +279,7 @@
 
 func (g *fakeGroup) ConfigVersion() uint64 { return 1 }
 
-func (g *fakeGroup) Current() bool {
+func (g *fakeGroup) ViewCurrent() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return !g.noControlContact
--- a/owner/stream.go
+++ b/owner/stream.go
@@ -247,7 +247,7 @@
 	// Without a current view, the members that were counted may have been
 	// replaced, and their majority would prove nothing. With one it does: the
 	// control leader lets one lease pass between two changes of members.
-	if !j.stream.owner.opts.Leases.Current() {
+	if !j.stream.owner.opts.Leases.ViewCurrent() {
 		return j.outcomeUnknown(&Unconfirmed{Term: after.Term})
 	}
 	return nil
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -86,7 +86,7 @@
 	Lease(name string) (Lease, bool)
 	// ConfigVersion returns the highest version that a renewal has required.
 	ConfigVersion() uint64
-	// Current reports whether the view was current at some time within the
+	// ViewCurrent reports whether the view was current at some time within the
 	// last lease. It stays true while a host hands its leases over.
-	Current() bool
+	ViewCurrent() bool
 }
