--- a/caller/pgcaller/auth_test.go
+++ b/caller/pgcaller/auth_test.go
@@ -118,13 +118,13 @@
 		switch message := message.(type) {
 		case *pgproto3.AuthenticationSASL:
 			seen = append(seen, strings.Join(message.AuthMechanisms, ","))
-			first, err := attempt.First()
+			first, err := attempt.ClientFirst()
 			assert.NilError(t, err)
 			frontend.Send(&pgproto3.SASLInitialResponse{AuthMechanism: pgscram.Mechanism, Data: first})
 		case *pgproto3.AuthenticationSASLContinue:
 			fields := strings.Split(string(message.Data), ",")
 			seen = append(seen, fmt.Sprintf("challenge of %d bytes with %s", len(message.Data), fields[2]))
-			proof, err := attempt.Proof(message.Data)
+			proof, err := attempt.ClientFinal(message.Data)
 			assert.NilError(t, err)
 			frontend.Send(&pgproto3.SASLResponse{Data: proof})
 		case *pgproto3.ErrorResponse:
--- a/pgscram/client.go
+++ b/pgscram/client.go
@@ -56,9 +56,9 @@
 	return &Login{conversation: c.scram.NewConversation()}, nil
 }
 
-// First returns the client-first-message of RFC 5802.
+// ClientFirst returns the client-first-message of RFC 5802.
 // Errors: *ServerError.
-func (l *Login) First() ([]byte, error) {
+func (l *Login) ClientFirst() ([]byte, error) {
 	first, err := l.conversation.Step("")
 	if err != nil {
 		return nil, &ServerError{Detail: "no first message"}
@@ -66,9 +66,9 @@
 	return []byte(first), nil
 }
 
-// Proof returns the client-final-message, which answers the server's challenge.
+// ClientFinal returns the client-final-message, which answers the server's challenge.
 // Errors: *ServerError.
-func (l *Login) Proof(challenge []byte) ([]byte, error) {
+func (l *Login) ClientFinal(challenge []byte) ([]byte, error) {
 	if !iterationsAllowed(string(challenge)) {
 		return nil, &ServerError{Detail: "the server asks for too many iterations"}
 	}
@@ -79,10 +79,10 @@
 	return []byte(proof), nil
 }
 
-// Finish checks the server-final-message, by which the server proves that it
+// VerifyServer checks the server-final-message, by which the server proves that it
 // knows the password.
 // Errors: *ServerError.
-func (l *Login) Finish(outcome []byte) error {
+func (l *Login) VerifyServer(outcome []byte) error {
 	_, err := l.conversation.Step(string(outcome))
 	if err != nil || !l.conversation.Valid() {
 		return &ServerError{Detail: "the server could not prove that it knows the password"}
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// Done reports whether the server has proved that it knows the password.
-func (l *Login) Done() bool { return l.conversation.Valid() }
+// ServerVerified reports whether the server has proved that it knows the password.
+func (l *Login) ServerVerified() bool { return l.conversation.Valid() }
 
 // iterationsAllowed reports whether the iteration count of a challenge is at most
 // maxIterations.
--- a/pgscram/pgscram_test.go
+++ b/pgscram/pgscram_test.go
@@ -12,7 +12,7 @@
 // challenge returns a server-first-message for login with an iteration count.
 func challenge(t *testing.T, login *Login, iterations string) []byte {
 	t.Helper()
-	first, err := login.First()
+	first, err := login.ClientFirst()
 	assert.NilError(t, err)
 	_, nonce, found := strings.Cut(string(first), "r=")
 	assert.Assert(t, found)
@@ -26,7 +26,7 @@
 	for iterations, want := range map[string]string{"4096": "", "2000000000": "too many", "9999999999999999999999": "too many", "1": "malformed"} {
 		login, err := NewClient(password).Start([]string{"SCRAM-SHA-256-PLUS", Mechanism})
 		assert.NilError(t, err)
-		_, err = login.Proof(challenge(t, login, iterations))
+		_, err = login.ClientFinal(challenge(t, login, iterations))
 		if want == "" {
 			assert.NilError(t, err)
 			continue
--- a/pgscram/server.go
+++ b/pgscram/server.go
@@ -95,9 +95,9 @@
 	return credentials
 }
 
-// Messages carries the authentication messages of one login between a Verifier
+// Transport carries the authentication messages of one login between a Verifier
 // and the client.
-type Messages interface {
+type Transport interface {
 	// Send writes an authentication request.
 	Send(message pgproto3.BackendMessage) error
 	// Receive returns the body of the client's next password message.
@@ -107,7 +107,7 @@
 // Verify runs the server side of one login. After success it is left to the
 // caller to send AuthenticationOk.
 // Errors: *AuthenticationFailed, or that of messages.
-func (v *Verifier) Verify(user string, messages Messages) error {
+func (v *Verifier) Verify(user string, messages Transport) error {
 	lookup := func(string) (scram.StoredCredentials, error) { return v.credentials(user), nil }
 	server, err := scram.SHA256.NewServer(lookup)
 	if err != nil {
@@ -136,7 +136,7 @@
 }
 
 // finishLogin checks the client's proof and answers with the server's signature.
-func finishLogin(conversation *scram.ServerConversation, messages Messages) error {
+func finishLogin(conversation *scram.ServerConversation, messages Transport) error {
 	body, err := messages.Receive()
 	if err != nil {
 		return err
--- a/standin/auth.go
+++ b/standin/auth.go
@@ -23,13 +23,13 @@
 // connection.
 type passwordMessages struct{ session *session }
 
-// Send implements pgscram.Messages.
+// Send implements pgscram.Transport.
 func (m passwordMessages) Send(message pgproto3.BackendMessage) error {
 	m.session.send(message)
 	return m.session.flush()
 }
 
-// Receive implements pgscram.Messages.
+// Receive implements pgscram.Transport.
 func (m passwordMessages) Receive() ([]byte, error) {
 	kind, body, err := m.session.reader.next()
 	if err == nil && kind != 'p' {
--- a/upstream/pgupstream/auth.go
+++ b/upstream/pgupstream/auth.go
@@ -37,7 +37,7 @@
 }
 
 func (a *authentication) accept() error {
-	if a.login != nil && !a.login.Done() {
+	if a.login != nil && !a.login.ServerVerified() {
 		return unavailable("start-up: the server has not proved that it knows the password")
 	}
 	a.accepted = true
@@ -59,7 +59,7 @@
 	if err != nil {
 		return unavailable("start-up: " + err.Error())
 	}
-	first, err := login.First()
+	first, err := login.ClientFirst()
 	if err != nil {
 		return unavailable("start-up: " + err.Error())
 	}
@@ -71,7 +71,7 @@
 	if a.login == nil {
 		return unavailable("start-up: a challenge without a login")
 	}
-	proof, err := a.login.Proof(challenge)
+	proof, err := a.login.ClientFinal(challenge)
 	if err != nil {
 		return unavailable("start-up: " + err.Error())
 	}
@@ -82,7 +82,7 @@
 	if a.login == nil {
 		return unavailable("start-up: an outcome without a login")
 	}
-	if err := a.login.Finish(outcome); err != nil {
+	if err := a.login.VerifyServer(outcome); err != nil {
 		return unavailable("start-up: " + err.Error())
 	}
 	return nil
