--- a/control/failover_test.go
+++ b/control/failover_test.go
@@ -65,7 +65,7 @@
 }
 
 func (c *databaseConn) Fence(_ context.Context, term upstream.Term) (upstream.Status, error) {
-	return c.update(func(s *upstream.Status) { s.Fenced = term })
+	return c.update(func(s *upstream.Status) { s.FencedTerm = term })
 }
 
 func (c *databaseConn) Promote(_ context.Context, term upstream.Term) (upstream.Status, error) {
@@ -82,7 +82,7 @@
 func TestLostPrimaryIsReplacedInTheViewsOfProxies(t *testing.T) {
 	databases := &fakeDatabases{servers: map[string]*upstream.Status{}}
 	for _, address := range []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"} {
-		databases.servers[address] = &upstream.Status{Term: 4, Fenced: 4, History: upstream.History{{Term: 4}}}
+		databases.servers[address] = &upstream.Status{Term: 4, FencedTerm: 4, History: upstream.History{{Term: 4}}}
 	}
 	databases.servers["127.0.0.1:1"].Role = upstream.RolePrimary
 	c := startCluster(t, 3, shortTiming, databases)
--- a/failover/calls.go
+++ b/failover/calls.go
@@ -89,7 +89,7 @@
 
 // boundTerm returns the highest term that an upstream is bound to: it refuses
 // calls at lower terms.
-func boundTerm(status upstream.Status) upstream.Term { return max(status.Fenced, status.Term) }
+func boundTerm(status upstream.Status) upstream.Term { return max(status.FencedTerm, status.Term) }
 
 func askStatus(ctx context.Context, conn upstream.Conn) (upstream.Status, error) {
 	return conn.Status(ctx)
@@ -98,8 +98,8 @@
 func askFence(term upstream.Term) call {
 	return func(ctx context.Context, conn upstream.Conn) (upstream.Status, error) {
 		status, err := conn.Fence(ctx, term)
-		if err == nil && status.Fenced < term {
-			err = &CallRefused{Call: "fence", Fenced: uint64(status.Fenced)}
+		if err == nil && status.FencedTerm < term {
+			err = &CallRefused{Call: "fence", Fenced: uint64(status.FencedTerm)}
 		}
 		return status, err
 	}
@@ -109,7 +109,7 @@
 	return func(ctx context.Context, conn upstream.Conn) (upstream.Status, error) {
 		status, err := conn.Promote(ctx, term)
 		if err == nil && (status.Role != upstream.RolePrimary || status.Term != term) {
-			err = &CallRefused{Call: "become primary", Fenced: uint64(status.Fenced)}
+			err = &CallRefused{Call: "become primary", Fenced: uint64(status.FencedTerm)}
 		}
 		return status, err
 	}
--- a/failover/fake_test.go
+++ b/failover/fake_test.go
@@ -196,7 +196,7 @@
 	}
 	s := c.server
 	return upstream.Status{
-		Role: s.role, Term: s.term, Offset: s.offset, Fenced: s.fenced, History: slices.Clone(s.history),
+		Role: s.role, Term: s.term, Offset: s.offset, FencedTerm: s.fenced, History: slices.Clone(s.history),
 	}, nil
 }
 
--- a/owner/confirm.go
+++ b/owner/confirm.go
@@ -232,7 +232,7 @@
 // promise to a higher term.
 func (r statusReport) follows(term upstream.Term) bool {
 	s := r.status
-	return !r.sentAt.IsZero() && s.Role == upstream.RoleReplica && s.Term == term && s.Fenced <= term
+	return !r.sentAt.IsZero() && s.Role == upstream.RoleReplica && s.Term == term && s.FencedTerm <= term
 }
 
 // confirmedAt returns the latest time at which a majority is known to have
--- a/owner/confirm_test.go
+++ b/owner/confirm_test.go
@@ -97,7 +97,7 @@
 	assert.NilError(t, err)
 	o.opts.ConfirmTimeout = 100 * time.Millisecond
 	for _, name := range []string{"b", "c"} {
-		g.servers[name].set(func(s *server) { s.status.Fenced = 2; s.status.Offset = 1000 })
+		g.servers[name].set(func(s *server) { s.status.FencedTerm = 2; s.status.Offset = 1000 })
 	}
 	_, text, err := runBatch(t, o, "a", "now", batch(upstream.ModeWrite, "insert"))
 	assert.Assert(t, err != nil)
--- a/owner/execute.go
+++ b/owner/execute.go
@@ -57,7 +57,7 @@
 	if !errors.As(err, &committed) {
 		return err
 	}
-	if unconfirmed := j.confirmCommit(ctx, r.After); unconfirmed != nil {
+	if unconfirmed := j.confirmCommit(ctx, r.StatusAfter); unconfirmed != nil {
 		return unconfirmed
 	}
 	return err
--- a/owner/fake_test.go
+++ b/owner/fake_test.go
@@ -68,7 +68,7 @@
 	return c.server.status, nil
 }
 
-func (c *conn) Run(_ context.Context, b upstream.Batch, check upstream.Check, sink upstream.Sink) (upstream.Result, error) {
+func (c *conn) Run(_ context.Context, b upstream.Batch, check upstream.StatusCheck, sink upstream.Sink) (upstream.Result, error) {
 	status, err := c.readStatus()
 	if err != nil {
 		return upstream.Result{}, &fault.OutcomeUnknown{Reason: fault.ReasonOutcomeUnknown, Err: err}
@@ -111,14 +111,14 @@
 func (s *server) answer(b upstream.Batch) upstream.Result {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := upstream.Result{State: upstream.StateIdle, Tail: []byte("done")}
+	r := upstream.Result{State: upstream.StateIdle, AnswerTail: []byte("done")}
 	if string(b.Payload) == "begin" || string(b.Payload) == "more" {
 		r.State = upstream.StateOpen
 		return r
 	}
 	if b.Mode == upstream.ModeWrite {
 		s.status.Offset++
-		r.After = s.status
+		r.StatusAfter = s.status
 		r.Committed = true
 	}
 	return r
@@ -234,7 +234,7 @@
 		if name == "a" {
 			role = upstream.RolePrimary
 		}
-		g.servers[name] = &server{status: upstream.Status{Role: role, Term: 1, Fenced: 1, Offset: 10, History: upstream.History{{Term: 1}}}}
+		g.servers[name] = &server{status: upstream.Status{Role: role, Term: 1, FencedTerm: 1, Offset: 10, History: upstream.History{{Term: 1}}}}
 		view.Upstreams[name] = registry.Upstream{
 			Name: name, Database: "db", Address: name, Slots: 2, MaxConnections: 12, Owner: "host", OwnerEpoch: 1,
 		}
--- a/owner/stream.go
+++ b/owner/stream.go
@@ -216,14 +216,14 @@
 func (j *job) complete(ctx context.Context, r upstream.Result) (exchange.BatchResult, error) {
 	done := exchange.BatchResult{State: r.State, DatabaseError: r.DatabaseError}
 	if r.Committed {
-		if err := j.confirmCommit(ctx, r.After); err != nil {
+		if err := j.confirmCommit(ctx, r.StatusAfter); err != nil {
 			j.discardConn()
 			return exchange.BatchResult{}, err
 		}
-		done.Commit = r.After.Position()
+		done.Commit = r.StatusAfter.Position()
 	}
-	if len(r.Tail) > 0 {
-		if err := j.sink(r.Tail); err != nil {
+	if len(r.AnswerTail) > 0 {
+		if err := j.sink(r.AnswerTail); err != nil {
 			j.discardConn()
 			return exchange.BatchResult{}, j.outcomeUnknown(err)
 		}
@@ -237,7 +237,7 @@
 // term of the primary that made it.
 func (j *job) confirmCommit(ctx context.Context, after upstream.Status) error {
 	u := j.stream.upstream
-	if after.Role != upstream.RolePrimary || after.Fenced > after.Term {
+	if after.Role != upstream.RolePrimary || after.FencedTerm > after.Term {
 		return j.outcomeUnknown(&Unconfirmed{Term: after.Term})
 	}
 	c := u.confirmer.start(&confirmation{term: after.Term, position: after.Position()})
--- a/standin/failover_test.go
+++ b/standin/failover_test.go
@@ -68,7 +68,7 @@
 func (g *failoverGroup) isReplicated(writer *Server, p upstream.Position) bool {
 	for _, s := range g.servers {
 		status := s.Status()
-		if s != writer && status.Term == p.Term && status.Fenced == p.Term && status.Includes(p) {
+		if s != writer && status.Term == p.Term && status.FencedTerm == p.Term && status.Includes(p) {
 			return true
 		}
 	}
--- a/standin/functions.go
+++ b/standin/functions.go
@@ -154,7 +154,7 @@
 		status.Role.String(),
 		strconv.FormatUint(uint64(status.Term), 10),
 		strconv.FormatUint(uint64(status.Offset), 10),
-		strconv.FormatUint(uint64(status.Fenced), 10),
+		strconv.FormatUint(uint64(status.FencedTerm), 10),
 		formatHistory(status.History),
 		formatAge(status.DataAge),
 		formatAge(status.PrimaryContactAge),
--- a/standin/replicate_test.go
+++ b/standin/replicate_test.go
@@ -113,7 +113,7 @@
 	callServerFunction(t, servers[1], "fence(5)")
 	servers[1].Kill()
 	assert.NilError(t, servers[1].Restart())
-	assert.Equal(t, servers[1].Status().Fenced, upstream.Term(5))
+	assert.Equal(t, servers[1].Status().FencedTerm, upstream.Term(5))
 }
 
 // Guards against lovageslip_wait returning before the position is reached, or not
--- a/standin/state.go
+++ b/standin/state.go
@@ -101,11 +101,11 @@
 
 func (s *state) statusLocked(now time.Time) upstream.Status {
 	status := upstream.Status{
-		Role:    s.role,
-		Term:    s.term,
-		Offset:  upstream.Offset(len(s.log)),
-		Fenced:  s.fenced,
-		History: s.history,
+		Role:       s.role,
+		Term:       s.term,
+		Offset:     upstream.Offset(len(s.log)),
+		FencedTerm: s.fenced,
+		History:    s.history,
 	}
 	if s.role == upstream.RolePrimary {
 		return status
--- a/upstream/pgupstream/ledger.go
+++ b/upstream/pgupstream/ledger.go
@@ -207,7 +207,7 @@
 	if !stayedPrimary(before, after) {
 		return upstream.Result{}, c.unconfirmedCommit()
 	}
-	result := upstream.Result{State: c.state, After: *after, Committed: true, Replayed: true}
+	result := upstream.Result{State: c.state, StatusAfter: *after, Committed: true, Replayed: true}
 	stored := found.values[0][0]
 	if stored == nil {
 		return result, &fault.AlreadyCommitted{RequestID: id}
@@ -216,7 +216,7 @@
 	if err != nil {
 		return upstream.Result{}, c.fail(&protocolError{detail: "stored answer is damaged"})
 	}
-	result.Tail = tail
+	result.AnswerTail = tail
 	return result, nil
 }
 
--- a/upstream/pgupstream/ledger_test.go
+++ b/upstream/pgupstream/ledger_test.go
@@ -101,7 +101,7 @@
 		if try == 1 {
 			var committed *fault.AlreadyCommitted
 			assert.Assert(t, errors.As(c.err, &committed), "%v", c.err)
-			assert.Assert(t, c.result.Committed && c.result.After.Offset == 3)
+			assert.Assert(t, c.result.Committed && c.result.StatusAfter.Offset == 3)
 			assert.Equal(t, len(c.raw), 0)
 			break
 		}
--- a/upstream/pgupstream/pgupstream_test.go
+++ b/upstream/pgupstream/pgupstream_test.go
@@ -71,10 +71,10 @@
 	return kinds
 }
 
-func runBatch(conn *Conn, batch upstream.Batch, check upstream.Check) *collected {
+func runBatch(conn *Conn, batch upstream.Batch, check upstream.StatusCheck) *collected {
 	c := &collected{}
 	c.result, c.err = conn.Run(context.Background(), batch, check, c.sink)
-	c.raw = append(c.raw, c.result.Tail...)
+	c.raw = append(c.raw, c.result.AnswerTail...)
 	return c
 }
 
@@ -134,8 +134,8 @@
 	assert.NilError(t, err)
 	assert.Equal(t, len(c.raw), 0)
 	assert.Assert(t, result.Committed)
-	assert.Equal(t, result.After.Position(), upstream.Position{Term: 1, Offset: 2})
-	assert.Equal(t, (&collected{raw: result.Tail}).kinds(), "CZ")
+	assert.Equal(t, result.StatusAfter.Position(), upstream.Position{Term: 1, Offset: 2})
+	assert.Equal(t, (&collected{raw: result.AnswerTail}).kinds(), "CZ")
 	answer := read(conn, "SELECT * FROM v")
 	assert.NilError(t, answer.err)
 	assert.Equal(t, answer.kinds(), "TDCZ")
@@ -207,7 +207,7 @@
 	assert.Equal(t, countRows(t, other), 0)
 	c = mustWrite(t, conn, "COMMIT")
 	assert.Assert(t, c.result.Committed)
-	assert.Equal(t, c.result.After.Offset, upstream.Offset(2))
+	assert.Equal(t, c.result.StatusAfter.Offset, upstream.Offset(2))
 	assert.Equal(t, countRows(t, other), 1)
 	mustWrite(t, conn, "BEGIN")
 	c = write(conn, "INSERT INTO v VALUES (1)", "")
--- a/upstream/pgupstream/replaced_test.go
+++ b/upstream/pgupstream/replaced_test.go
@@ -77,7 +77,7 @@
 		c := write(conn, "INSERT INTO v VALUES (1)", "")
 		if confirmable {
 			assert.NilError(t, c.err)
-			assert.Equal(t, c.result.After.Position(), upstream.Position{Term: 1, Offset: 10})
+			assert.Equal(t, c.result.StatusAfter.Position(), upstream.Position{Term: 1, Offset: 10})
 			continue
 		}
 		var unknown *fault.OutcomeUnknown
--- a/upstream/pgupstream/run.go
+++ b/upstream/pgupstream/run.go
@@ -18,7 +18,7 @@
 // With a request id that a committed batch has used, but whose answer isn't
 // stored, Run returns *fault.AlreadyCommitted together with a Result whose status
 // covers that commit.
-func (c *Conn) Run(ctx context.Context, batch upstream.Batch, check upstream.Check, sink upstream.Sink) (upstream.Result, error) {
+func (c *Conn) Run(ctx context.Context, batch upstream.Batch, check upstream.StatusCheck, sink upstream.Sink) (upstream.Result, error) {
 	r, err := newRequest(batch, c.prepared)
 	if err != nil {
 		return upstream.Result{}, err
@@ -45,7 +45,7 @@
 	return result, err
 }
 
-func (c *Conn) run(batch upstream.Batch, r *request, check upstream.Check, sink upstream.Sink) (upstream.Result, error) {
+func (c *Conn) run(batch upstream.Batch, r *request, check upstream.StatusCheck, sink upstream.Sink) (upstream.Result, error) {
 	switch {
 	case batch.Mode == upstream.ModeRead:
 		return c.runRead(r, check, sink)
@@ -111,7 +111,7 @@
 }
 
 // runRead sends [mode change] [status query] [batch] in one write.
-func (c *Conn) runRead(r *request, check upstream.Check, sink upstream.Sink) (upstream.Result, error) {
+func (c *Conn) runRead(r *request, check upstream.StatusCheck, sink upstream.Sink) (upstream.Result, error) {
 	wasIdle := c.state == upstream.StateIdle
 	if c.state == upstream.StateFailed {
 		// Nothing can be read in a failed transaction, not even the status.
@@ -151,7 +151,7 @@
 }
 
 // readAndCheckStatus reads the status that precedes a read and passes it to check.
-func (c *Conn) readAndCheckStatus(check upstream.Check) (checkErr, err error) {
+func (c *Conn) readAndCheckStatus(check upstream.StatusCheck) (checkErr, err error) {
 	result, err := c.readRows()
 	if err != nil {
 		return nil, err
@@ -168,7 +168,7 @@
 
 // statusQueryError returns the error for a read whose status query failed. It is
 // nil without a check, because the status isn't needed then.
-func statusQueryError(failure *fault.Database, check upstream.Check) error {
+func statusQueryError(failure *fault.Database, check upstream.StatusCheck) error {
 	if check == nil {
 		return nil
 	}
@@ -312,7 +312,7 @@
 
 // acceptsWrites reports whether the server may commit writes.
 func acceptsWrites(s *upstream.Status) bool {
-	return s.Role == upstream.RolePrimary && s.Fenced <= s.Term
+	return s.Role == upstream.RolePrimary && s.FencedTerm <= s.Term
 }
 
 func (c *Conn) endWrite(a *answerReader, before, after *upstream.Status) (upstream.Result, error) {
@@ -324,7 +324,7 @@
 	if c.state != upstream.StateIdle {
 		return result, c.finishAnswer(a)
 	}
-	result.After = *after
+	result.StatusAfter = *after
 	if !a.mayHaveCommitted() {
 		return result, c.finishAnswer(a)
 	}
@@ -333,7 +333,7 @@
 	}
 	result.Committed = true
 	var err error
-	result.Tail, err = a.deliverBeforeAck()
+	result.AnswerTail, err = a.deliverBeforeAck()
 	return result, err
 }
 
--- a/upstream/pgupstream/status.go
+++ b/upstream/pgupstream/status.go
@@ -23,7 +23,7 @@
 	p := statusParser{}
 	status.Term = upstream.Term(p.number(row[1]))
 	status.Offset = upstream.Offset(p.number(row[2]))
-	status.Fenced = upstream.Term(p.number(row[3]))
+	status.FencedTerm = upstream.Term(p.number(row[3]))
 	status.History = p.history(string(row[4]))
 	status.DataAge = p.millis(row[5])
 	status.PrimaryContactAge = p.millis(row[6])
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -65,10 +65,10 @@
 	Term Term
 	// Offset is the last entry that the server has applied and not discarded.
 	Offset Offset
-	// Fenced is the highest term that the server has promised to accept. It
+	// FencedTerm is the highest term that the server has promised to accept. It
 	// refuses everything from lower terms.
-	Fenced  Term
-	History History
+	FencedTerm Term
+	History    History
 	// DataAge bounds how old the server's data are, by its own monotonic
 	// clock. Zero for a primary.
 	DataAge time.Duration
@@ -150,16 +150,16 @@
 // Result is the outcome of a batch that the server answered completely.
 type Result struct {
 	State TransactionState
-	// After is the server's status after a write that left no transaction
+	// StatusAfter is the server's status after a write that left no transaction
 	// open. Its position is at or after that of the commit.
-	After Status
+	StatusAfter Status
 	// Committed is true if that status is set and the batch may have
 	// committed a write.
 	Committed bool
-	// Tail is the end of the answer to a committing write, from the first
+	// AnswerTail is the end of the answer to a committing write, from the first
 	// acknowledgement on. The adapter withholds it from the sink, because
 	// the owner may pass it on only once the commit is confirmed.
-	Tail []byte
+	AnswerTail []byte
 	// DatabaseError is true if the answer holds an error of the database.
 	DatabaseError bool
 	// Replayed is true if the batch did not run, because an earlier one with
@@ -171,9 +171,9 @@
 // the call. An error from the sink ends the batch.
 type Sink func(chunk []byte) error
 
-// Check decides by a server's status whether its answer may be passed on, for
+// StatusCheck decides by a server's status whether its answer may be passed on, for
 // example whether its data are fresh enough. An error discards the answer.
-type Check func(Status) error
+type StatusCheck func(Status) error
 
 // Conn is one connection to a server. It is used by one goroutine at a time,
 // except for Cancel and Close, which are safe to call at any time.
@@ -189,7 +189,7 @@
 	// connection broke after the batch was sent; *fault.AlreadyCommitted.
 	// An error that the database answers is part of the answer, not an error
 	// of Run.
-	Run(ctx context.Context, batch Batch, check Check, sink Sink) (Result, error)
+	Run(ctx context.Context, batch Batch, check StatusCheck, sink Sink) (Result, error)
 	// Status queries the server's status.
 	Status(ctx context.Context) (Status, error)
 	// Wait returns once the server includes p or the timeout has passed,
