--- a/daemon/load_bench_test.go
+++ b/daemon/load_bench_test.go
@@ -60,7 +60,7 @@
 		for _, policy := range comparedPolicies {
 			result := runProfile(b, profile, policy.make)
 			for _, work := range result.Work {
-				b.ReportMetric(100*work.Share, fmt.Sprintf("%s-%s-inside-%%", policy.name, work.Name))
+				b.ReportMetric(100*work.WithinTargetShare, fmt.Sprintf("%s-%s-inside-%%", policy.name, work.Name))
 				b.ReportMetric(float64(work.Latency.P99.Milliseconds()), fmt.Sprintf("%s-%s-p99-ms", policy.name, work.Name))
 			}
 			b.Logf("policy %s", policy.name)
--- a/loadgen/loadgen_test.go
+++ b/loadgen/loadgen_test.go
@@ -94,7 +94,7 @@
 	assert.Equal(t, read.OK, read.Sent)
 	assert.Assert(t, read.LongestGap >= stall, "%v", read.LongestGap)
 	assert.Assert(t, read.Latency.P90 > stall/4, "%v", read.Latency.P90)
-	assert.Assert(t, read.Share < 0.9, "%v", read.Share)
+	assert.Assert(t, read.WithinTargetShare < 0.9, "%v", read.WithinTargetShare)
 }
 
 // Guards against failed requests that are counted as successes, and against
--- a/loadgen/report.go
+++ b/loadgen/report.go
@@ -24,7 +24,7 @@
 	for _, work := range r.Work {
 		l := work.Latency
 		fmt.Fprintf(table, "%s\t%d\t%d\t%.1f %%\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t\n",
-			work.Name, work.Sent, work.OK, 100*work.Share,
+			work.Name, work.Sent, work.OK, 100*work.WithinTargetShare,
 			formatDuration(l.P50), formatDuration(l.P90), formatDuration(l.P99), formatDuration(l.P999), formatDuration(l.Max),
 			formatDuration(work.LongestGap), formatDuration(work.GapStart))
 	}
--- a/loadgen/result.go
+++ b/loadgen/result.go
@@ -38,9 +38,9 @@
 	// WithinTarget counts the successful requests whose latency was at most
 	// the Wait plus the Service of their work.
 	WithinTarget int64
-	// Share is the fraction of the scheduled requests that WithinTarget
+	// WithinTargetShare is the fraction of the scheduled requests that WithinTarget
 	// counts, 0 to 1 (column "inside" of the table).
-	Share float64
+	WithinTargetShare float64
 	// Latency is that of successful requests, counted from their scheduled
 	// start.
 	Latency Percentiles
@@ -196,7 +196,7 @@
 		GapStart:     r.gapStart,
 	}
 	if r.sent > 0 {
-		result.Share = float64(r.withinTarget) / float64(r.sent)
+		result.WithinTargetShare = float64(r.withinTarget) / float64(r.sent)
 	}
 	for _, second := range r.seconds {
 		result.Seconds = append(result.Seconds, second.result())
