--- a/proxy/allowance.go
+++ b/proxy/allowance.go
@@ -34,8 +34,8 @@
 func newConcurrencyLimit() concurrencyLimit { return concurrencyLimit{limit: initialConcurrency} }
 
 // allows reports whether one more statement may be sent. While the limit is
-// below one, statements are sent one at a time, and the pause after a decrease
-// is the longer the lower the limit is.
+// below one, statements are sent one at a time, and a lower limit makes the
+// pause after a decrease longer.
 func (l *concurrencyLimit) allows(inFlight int, at time.Time) bool {
 	if l.limit >= 1 || inFlight > 0 {
 		return float64(inFlight+1) <= max(l.limit, 1)
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -82,7 +82,7 @@
 
 // retryUntilFinal makes attempts until one is final, maxRetryDuration would be
 // exceeded or ctx ends. In the last two cases it refuses the statement as not
-// run, which holds because no attempt that is retried has taken effect.
+// run. That is true because no attempt that is retried has taken effect.
 func (s *Session) retryUntilFinal(ctx context.Context, st *Statement, try func() attempt) Reply {
 	deadline := now().Add(maxRetryDuration)
 	for n := 0; ; n++ {
--- a/proxy/health.go
+++ b/proxy/health.go
@@ -23,8 +23,8 @@
 	// maxQueueDelay is how much longer than the minimum round-trip time
 	// statements may take on average before the concurrency limit is lowered.
 	// An upstream serves its queue in the order of arrival, so urgent
-	// statements can't pass those that wait there. The load model earns less
-	// with 60, 90 and 130 ms.
+	// statements can't pass those that wait there. With 60, 90 and 130 ms,
+	// the operations of the load model in the tests earn less worth.
 	maxQueueDelay = 40 * time.Millisecond
 	// serviceTimeHalfLife is the half-life of the service time of an unused
 	// upstream, so that one that was slow is tried again.
--- a/proxy/model_test.go
+++ b/proxy/model_test.go
@@ -116,9 +116,9 @@
 	refused, failed                      int
 }
 
-// modelOperation is what the schedule of the bound knows of an operation. The
-// work is the mean for its class, because no schedule can know how long a
-// statement will run.
+// modelOperation is what pattern.bound uses of an operation. The work is the
+// mean for its class, because no schedule can know how long a statement will
+// run.
 type modelOperation struct {
 	class *modelClass
 	at    time.Duration
--- a/proxy/pattern_test.go
+++ b/proxy/pattern_test.go
@@ -38,8 +38,8 @@
 	allSlots            = 3 * modelSlots
 )
 
-// loadPeak returns the factor of the arrival rate over time: times between from
-// and until, 1 otherwise.
+// loadPeak returns a function of time that multiplies the arrival rate by factor
+// between from and until.
 func loadPeak(times float64, from, until time.Duration) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at >= from && at < until {
@@ -49,8 +49,8 @@
 	}
 }
 
-// patterns returns the loads and failures that the users have named as
-// troublesome.
+// patterns returns the kinds of load and failure that have given the users
+// trouble.
 func patterns() []pattern {
 	const from, until = 4 * time.Second, 8 * time.Second
 	defaults := pattern{length: 14 * time.Second, from: from, until: until, slots: allSlots, minShare: targetWorth,
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -51,7 +51,7 @@
 	backoffUntil time.Time
 	// laggingPosition is what the upstream held when it last lacked a
 	// position. Until laggingUntil it gets no reads that need a newer one;
-	// laggingPause is how long that pause was when it began.
+	// laggingPause is the length of that pause.
 	laggingPosition upstream.Position
 	laggingUntil    time.Time
 	laggingPause    time.Duration
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -31,12 +31,12 @@
 	// sampleDemandWindow is how long after a read that needs a sample of a
 	// group its samples are kept fresh.
 	sampleDemandWindow = 5 * time.Second
-	// unreachableAfter is how long a primary must only fail before the proxy
-	// reports it as unreachable.
+	// unreachableAfter is how long after a primary's first failure without a
+	// later answer the proxy reports it as unreachable.
 	unreachableAfter = 150 * time.Millisecond
-	// untriedAfter is the time without an answer of a primary, nor a
-	// failure, after which the proxy reports that it does not know whether
-	// it can reach the primary.
+	// untriedAfter is how long after a primary's last answer, without a
+	// failure since, the proxy reports that it does not know whether it can
+	// reach the primary.
 	untriedAfter = time.Second
 )
 
@@ -65,8 +65,8 @@
 	metrics tally.Scope
 	view    atomic.Pointer[site.View]
 	times   operationTimes
-	// sampling lets one request for a sample run at a time for each group,
-	// and one to a control host.
+	// sampling allows one request for a sample at a time to the primary of
+	// each group, and one to a control host, under the empty key.
 	sampling singleflight.Group
 
 	// mu guards the fields below.
@@ -353,8 +353,9 @@
 	}
 }
 
-// PrimaryReachability returns the ids of the primaries that this proxy cannot reach, and of
-// those that it has lately sent nothing to and so can't tell.
+// PrimaryReachability returns the ids of the primaries that this proxy cannot
+// reach, and of those that have not answered it lately, so that it does not know
+// whether it can.
 func (p *Proxy) PrimaryReachability() (unreachable, untried []string) {
 	for _, g := range p.View().Groups() {
 		pl, u, ok := p.primaryPool(g.Name)
--- a/proxy/read.go
+++ b/proxy/read.go
@@ -9,8 +9,9 @@
 	"lovageslip/upstream"
 )
 
-// readProgress is what the attempts of one read leave to the next ones: the
-// upstreams to exclude and how often the read ran and failed.
+// readProgress holds what the attempts of one read have shown so far: the
+// upstreams to exclude from the next attempt, and how often the read ran and
+// failed.
 type readProgress struct {
 	excluded map[string]bool // nil until an upstream is excluded
 	reruns   int
@@ -118,8 +119,8 @@
 const queueTimeout = 60 * time.Millisecond
 
 // readAcquireFailed excludes an upstream that gave no connection from the next
-// choice, unless the read only waited too long for one: then the expected wait
-// decides.
+// choice. If the read only waited too long for one, the upstream stays eligible,
+// and its expected wait decides.
 func (s *Session) readAcquireFailed(err error, progress *readProgress, id string) attempt {
 	a := acquireFailed(err)
 	if a.reason == reasonNoTurn {
--- a/proxy/session.go
+++ b/proxy/session.go
@@ -29,8 +29,8 @@
 
 	state TransactionState
 	tx    *transaction // nil unless a transaction is open or failed
-	// operationStart is when the caller's operation began: the transaction,
-	// or the single statement.
+	// operationStart is when the caller's operation, a transaction or a
+	// single statement, began.
 	operationStart time.Time
 }
 
--- a/proxy/statement.go
+++ b/proxy/statement.go
@@ -1,7 +1,8 @@
 // Package proxy runs the statements of callers' sessions on the upstreams of a
 // site: it chooses an upstream for each, pools connections, limits the load on
-// each upstream and retries what did not run. The front ends for callers open
-// its sessions, and the daemon gives it each new view of the site.
+// each upstream and retries what did not run. Package platform opens a session
+// for each caller's connection, and package sitewatch passes each new view of the
+// site to SetView.
 //
 // Whether data are fresh enough is decided by answers of the upstreams alone,
 // because the view of the site that other hosts send may be out of date:
--- a/proxy/transaction.go
+++ b/proxy/transaction.go
@@ -80,8 +80,9 @@
 	return s.proxy.View().TransactionIdle
 }
 
-// Expire ends a transaction that was idle for longer than IdleLimit. The front
-// end calls it; the caller's next statement is then refused.
+// Expire ends a transaction that was idle for longer than IdleLimit. The server
+// of the caller's connection calls it; the caller's next statement is then
+// refused.
 func (s *Session) Expire() {
 	if s.tx == nil {
 		return
--- a/route/route.go
+++ b/route/route.go
@@ -194,9 +194,9 @@
 	return &fault.NotRun{Reason: fault.ReasonNoUpstream, Detail: detail}
 }
 
-// candidate is an upstream that may be chosen. Its cost is the time that a
-// request is expected to spend on the network, until a replica holds the
-// session's position and in the queue.
+// candidate is an upstream that may be chosen. Its cost is the expected time of
+// a request on the network and in the owner's queue, plus the delay until a
+// replica holds the session's position.
 type candidate struct {
 	found  bool
 	cost   time.Duration
@@ -274,9 +274,9 @@
 	r.state(name).outstanding++
 }
 
-// RequestFinished counts a request as no longer outstanding and records its network
-// time: its duration less the time that the owner spent on it; zero if it was
-// not answered.
+// RequestFinished counts a request as no longer outstanding and records its
+// network time: its duration less the time that the owner spent on it; zero if
+// it was not answered.
 func (r *Router) RequestFinished(name string, network time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -285,16 +285,17 @@
 	s.recordNetworkTime(network)
 }
 
-// RecordStale records that an upstream refused a request because its data were too old.
+// RecordStale records that an upstream refused a request because its data were
+// too old.
 func (r *Router) RecordStale(name string, request Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.state(name).recordStale(request, r.now())
 }
 
-// RecordUnavailable records that an upstream could not take a request. A replica gets
-// no reads for a while after it, so that a lost replica does not cost each read
-// a retry.
+// RecordUnavailable records that an upstream could not take a request. A replica
+// gets no reads for a while after it, so that a lost replica does not cost each
+// read a retry.
 func (r *Router) RecordUnavailable(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/route/state.go
+++ b/route/state.go
@@ -49,14 +49,13 @@
 	// tooOldFor holds the names of the classes for which the replica's data
 	// are too old.
 	tooOldFor map[string]bool
-	// unavailableUntil is until when a replica that could not take a
-	// request gets no reads, and unavailableBackoff how long that time was
-	// at its start.
+	// Until unavailableUntil, a replica that could not take a request gets
+	// no reads. unavailableBackoff is the length of that pause.
 	unavailableUntil   time.Time
 	unavailableBackoff time.Duration
 	// Until staleUntil, a replica that refused a read because its data were
 	// too old gets no reads of classes with an age of up to staleAge.
-	// staleBackoff is how long that time was at its start.
+	// staleBackoff is the length of that pause.
 	staleUntil   time.Time
 	staleAge     time.Duration
 	staleBackoff time.Duration
