--- a/proxy/model_test.go
+++ b/proxy/model_test.go
@@ -265,9 +265,9 @@
 // statement is its work in microseconds.
 func newOperation(c *modelClass, rng *rand.Rand) *operation {
 	o := &operation{class: c, host: rng.IntN(modelHosts)}
-	writes, long := rng.Float64() < c.writes, rng.Float64() < c.transactions
+	writes, isTransaction := rng.Float64() < c.writes, rng.Float64() < c.transactions
 	count := 1
-	if long {
+	if isTransaction {
 		count = modelStatements
 	}
 	for i := range count {
@@ -279,7 +279,7 @@
 		}
 		o.statements = append(o.statements, &Statement{ID: "s", Kind: kind, Text: "x", Value: strconv.FormatInt(work.Microseconds(), 10)})
 	}
-	if long {
+	if isTransaction {
 		begin := &Statement{ID: "s", Kind: KindBegin, ReadOnly: !writes && c.freshness != pb.Freshness_FRESHNESS_LATEST}
 		o.statements = append([]*Statement{begin}, o.statements...)
 		o.statements = append(o.statements, &Statement{ID: "s", Kind: KindCommit, Value: "1000"})
--- a/proxy/pattern_test.go
+++ b/proxy/pattern_test.go
@@ -40,10 +40,10 @@
 
 // loadPeak returns a function of time that multiplies the arrival rate by factor
 // between from and until.
-func loadPeak(times float64, from, until time.Duration) func(time.Duration) float64 {
+func loadPeak(factor float64, from, until time.Duration) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at >= from && at < until {
-			return times
+			return factor
 		}
 		return 1
 	}
@@ -111,10 +111,10 @@
 		with("retry-storm-after-an-outage", func(p *pattern) {
 			p.until, p.slots = from+2*time.Second, 0
 			p.arrange = func(m *model) {
-				setUnreachable := func(is bool) func() {
+				setUnreachable := func(unreachable bool) func() {
 					return func() {
 						for _, u := range m.upstreams {
-							u.unreachable = is
+							u.unreachable = unreachable
 						}
 					}
 				}
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -219,7 +219,7 @@
 // Reasons for which a pool refuses a statement.
 const (
 	reasonUpstreamGone = "upstream_gone"
-	reasonNoTurn       = "no_turn"
+	reasonNotGranted   = "no_turn"
 )
 
 func upstreamGone() error { return &Refusal{Code: RefusedBusy, Reason: reasonUpstreamGone} }
@@ -232,7 +232,7 @@
 	for i, other := range p.waiters {
 		if other == w {
 			p.waiters = append(p.waiters[:i], p.waiters[i+1:]...)
-			return nil, &Refusal{Code: RefusedBusy, Reason: reasonNoTurn}
+			return nil, &Refusal{Code: RefusedBusy, Reason: reasonNotGranted}
 		}
 	}
 	g := <-w.granted
--- a/proxy/read.go
+++ b/proxy/read.go
@@ -123,7 +123,7 @@
 // and its expected wait decides.
 func (s *Session) readAcquireFailed(err error, progress *readProgress, id string) attempt {
 	a := acquireFailed(err)
-	if a.reason == reasonNoTurn {
+	if a.reason == reasonNotGranted {
 		a.wait = 0
 		return a
 	}
--- a/route/route.go
+++ b/route/route.go
@@ -203,16 +203,16 @@
 	choice Choice
 }
 
-func (p *candidate) replaceIfCheaper(c candidate) {
+func (best *candidate) replaceIfCheaper(c candidate) {
 	if !c.found {
 		return
 	}
 	// Before hints arrive, many costs are equal; a random choice among them
 	// spreads the load.
-	cheaper := !p.found || c.cost < p.cost
-	equal := p.found && c.cost == p.cost && rand.IntN(2) == 0
+	cheaper := !best.found || c.cost < best.cost
+	equal := best.found && c.cost == best.cost && rand.IntN(2) == 0
 	if cheaper || equal {
-		*p = c
+		*best = c
 	}
 }
 
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -29,12 +29,12 @@
 // view returns a view of one group with a replica in the router's data centre,
 // and a primary and another replica in others.
 func view() *registry.View {
-	of := func(name, dataCentre string) registry.Upstream {
+	newUpstream := func(name, dataCentre string) registry.Upstream {
 		return registry.Upstream{Name: name, Database: "shop", DataCentre: dataCentre, Owner: "p", OwnerAddress: "127.0.0.1:1"}
 	}
 	return &registry.View{
 		Upstreams: map[string]registry.Upstream{
-			"primary": of("primary", "visayas"), "near": of("near", "luzon"), "far": of("far", "mindanao"),
+			"primary": newUpstream("primary", "visayas"), "near": newUpstream("near", "luzon"), "far": newUpstream("far", "mindanao"),
 		},
 		Groups: map[string]registry.Group{"shop": {Database: "shop", Primary: "primary"}},
 	}
