--- a/proxy/pattern_test.go
+++ b/proxy/pattern_test.go
@@ -38,19 +38,19 @@
 	allSlots            = 3 * modelSlots
 )
 
-// loadPeak returns the factor of the arrival rate over time: times between from
-// and until, 1 otherwise.
-func loadPeak(times float64, from, until time.Duration) func(time.Duration) float64 {
+// loadPeak returns a function of time that multiplies the arrival rate by factor
+// between from and until.
+func loadPeak(factor float64, from, until time.Duration) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at >= from && at < until {
-			return times
+			return factor
 		}
 		return 1
 	}
 }
 
-// patterns returns the loads and failures that the users have named as
-// troublesome.
+// patterns returns the kinds of load and failure that have given the users
+// trouble.
 func patterns() []pattern {
 	const from, until = 4 * time.Second, 8 * time.Second
 	defaults := pattern{length: 14 * time.Second, from: from, until: until, slots: allSlots, minShare: targetWorth,
@@ -111,10 +111,10 @@
 		with("retry-storm-after-an-outage", func(p *pattern) {
 			p.until, p.slots = from+2*time.Second, 0
 			p.arrange = func(m *model) {
-				setUnreachable := func(is bool) func() {
+				setUnreachable := func(unreachable bool) func() {
 					return func() {
 						for _, u := range m.upstreams {
-							u.unreachable = is
+							u.unreachable = unreachable
 						}
 					}
 				}
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -51,7 +51,7 @@
 	backoffUntil time.Time
 	// laggingPosition is what the upstream held when it last lacked a
 	// position. Until laggingUntil it gets no reads that need a newer one;
-	// laggingPause is how long that pause was when it began.
+	// laggingPause is the length of that pause.
 	laggingPosition upstream.Position
 	laggingUntil    time.Time
 	laggingPause    time.Duration
@@ -219,7 +219,7 @@
 // Reasons for which a pool refuses a statement.
 const (
 	reasonUpstreamGone = "upstream_gone"
-	reasonNoTurn       = "no_turn"
+	reasonNotGranted   = "no_turn"
 )
 
 func upstreamGone() error { return &Refusal{Code: RefusedBusy, Reason: reasonUpstreamGone} }
@@ -232,7 +232,7 @@
 	for i, other := range p.waiters {
 		if other == w {
 			p.waiters = append(p.waiters[:i], p.waiters[i+1:]...)
-			return nil, &Refusal{Code: RefusedBusy, Reason: reasonNoTurn}
+			return nil, &Refusal{Code: RefusedBusy, Reason: reasonNotGranted}
 		}
 	}
 	g := <-w.granted
