--- a/admission/admission.go
+++ b/admission/admission.go
@@ -318,8 +318,8 @@
 	return q.backlog(q.clock.Now())
 }
 
-// Capacity returns the mean time between the starts of two requests while others
-// wait, and the number of slots.
+// Capacity returns the estimated mean time between the starts of two requests
+// while others wait, and the number of slots.
 func (q *Queue) Capacity() (interval time.Duration, slots int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -341,18 +341,18 @@
 	return len(q.upstream.running)
 }
 
-// InactivityTimeout returns the inactivity timeout of running requests of a class and
-// shape: how long nothing may be received from the upstream until the request
-// is considered lost. It is derived from the service times seen so far.
+// InactivityTimeout returns how long nothing may be received from the upstream
+// until a running request of a class and shape is considered lost. It is derived
+// from the service times seen so far.
 func (q *Queue) InactivityTimeout(class string, shape uint64) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.upstream.estimator.inactivityTimeout(kind{class: class, shape: shape}, q.clock.Now())
 }
 
-// ObserveLost records that a request was considered lost after elapsed without any
-// sign of activity. It raises the inactivity timeouts, in case the request was
-// only slow.
+// ObserveLost records that a request was considered lost after elapsed without
+// any sign of activity. It raises the inactivity timeouts, in case the request
+// was only slow.
 func (q *Queue) ObserveLost(elapsed time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -252,11 +252,11 @@
 // under which short requests wait longer than under FIFO.
 func TestStragglerBenchmark(t *testing.T) {
 	for _, slots := range []int{3, 5} {
-		for _, marked := range []bool{true, false} {
+		for _, ownShape := range []bool{true, false} {
 			for _, rho := range []float64{0.5, 0.7} {
 				for _, fixed := range []bool{true, false} {
-					t.Run(fmt.Sprintf("slots=%d/known=%v/load=%.1f/fixed=%v", slots, marked, rho, fixed), func(t *testing.T) {
-						l := load{slots: slots, seconds: 100, stragglerShare: stragglerShare, ownShape: marked, wait: 10 * time.Second, fixed: fixed}
+					t.Run(fmt.Sprintf("slots=%d/known=%v/load=%.1f/fixed=%v", slots, ownShape, rho, fixed), func(t *testing.T) {
+						l := load{slots: slots, seconds: 100, stragglerShare: stragglerShare, ownShape: ownShape, wait: 10 * time.Second, fixed: fixed}
 						l.rho = func(float64) float64 { return rho }
 						l.compareWaits(t)
 					})
--- a/admission/stop.go
+++ b/admission/preempt.go
@@ -15,14 +15,14 @@
 	return longFactor * median
 }
 
-// stopAfter returns the running time in seconds after which a request may be
+// preemptAfter returns the running time in seconds after which a request may be
 // preempted; infinity before any has finished.
-func (u *upstreamState) stopAfter(now time.Time) float64 {
+func (u *upstreamState) preemptAfter(now time.Time) float64 {
 	median := u.estimator.distribution.medianSeconds(now)
 	if median == 0 {
 		return math.Inf(1)
 	}
-	return max(stopFactor*median, minStopAfter.Seconds())
+	return max(preemptFactor*median, minPreemptAfter.Seconds())
 }
 
 // expectedLong reports whether waiting requests of k with the expected service
@@ -55,11 +55,11 @@
 // runs again later as a long one. A request is preempted at most once, and the
 // one that started last first, so that little work is lost.
 func (p *ShortestJobFirst) victim(u *upstreamState, now time.Time) (*Slot, time.Time) {
-	limit := u.stopAfter(now)
-	if math.IsInf(limit, 1) || !p.shortWorkWaits(u, now) || !p.stopPays(limit, now) {
+	limit := u.preemptAfter(now)
+	if math.IsInf(limit, 1) || !p.shortWorkWaits(u, now) || !p.preemptionPays(limit, now) {
 		return nil, time.Time{}
 	}
-	youngest, next := p.stoppable(u, now)
+	youngest, next := p.youngestPreemptible(u, now)
 	if youngest == nil {
 		return nil, next
 	}
@@ -67,30 +67,31 @@
 		return nil, due
 	}
 	longCount := u.runningLong(now)
-	young := now.Sub(youngest.startedAt).Seconds() < stopAgeFactor*limit
+	young := now.Sub(youngest.startedAt).Seconds() < preemptAgeFactor*limit
 	if longCount > u.hardLimit() || young && longCount > p.softLimit(u, now) {
 		return youngest, next
 	}
 	return nil, next
 }
 
-// stopPays reports whether a request that has run for limit seconds is expected
-// to run for much longer. Otherwise a preemption only wastes the work done.
-func (p *ShortestJobFirst) stopPays(limit float64, now time.Time) bool {
+// preemptionPays reports whether a request that has run for limit seconds is
+// expected to run for much longer. Otherwise a preemption only wastes the work
+// done.
+func (p *ShortestJobFirst) preemptionPays(limit float64, now time.Time) bool {
 	mean := p.overrunMean(now)
 	return mean == 0 || mean >= minOverrunFactor*limit
 }
 
-// stoppable returns the request that started last of those that count as long
-// although they were expected to be short, and the time at which the next
-// running request will count as long. It returns neither while another
+// youngestPreemptible returns the request that started last of those that count
+// as long although they were expected to be short, and the time at which the
+// next running request will count as long. It returns neither while another
 // preemption is in progress.
-func (p *ShortestJobFirst) stoppable(u *upstreamState, now time.Time) (youngest *Slot, next time.Time) {
+func (p *ShortestJobFirst) youngestPreemptible(u *upstreamState, now time.Time) (youngest *Slot, next time.Time) {
 	for _, s := range u.running {
 		if s.preempted {
 			return nil, time.Time{}
 		}
-		if s.preemptionDisabled || s.expectedLong || !s.work.Preemptible {
+		if s.preemptionDisabled || s.expectedLong || !s.request.Preemptible {
 			continue
 		}
 		switch {
--- a/admission/shortest.go
+++ b/admission/shortest.go
@@ -10,16 +10,16 @@
 	// longFactor times the median service time is the limit between short
 	// and long requests.
 	longFactor = 4
-	// stopFactor times the median is the running time after which a request
+	// preemptFactor times the median is the running time after which a request
 	// that was expected to be short may be preempted. One in 64 of
 	// exponentially distributed service times is longer.
-	stopFactor = 6
-	// minStopAfter is the shortest running time before a preemption. A
+	preemptFactor = 6
+	// minPreemptAfter is the shortest running time before a preemption. A
 	// preemption costs a cancel request and a new connection, so it must be
 	// rare.
-	minStopAfter = 20 * time.Millisecond
-	// minOverrunFactor times stopAfter is the least mean service time of
-	// requests that ran past stopAfter for which a preemption pays.
+	minPreemptAfter = 20 * time.Millisecond
+	// minOverrunFactor times preemptAfter is the least mean service time of
+	// requests that ran past preemptAfter for which a preemption pays.
 	minOverrunFactor = 3
 	// longWaitFactor times its own expected service time is how long a long
 	// request waits before it may take a slot that short requests are likely
@@ -32,10 +32,10 @@
 	// urgentShare is the share of its wait after which a long request goes
 	// before short ones, within the limit on slots for long requests.
 	urgentShare = 0.75
-	// stopAgeFactor times stopAfter is the running time up to which a request
-	// may be preempted while short requests still have a slot. Later, the
-	// work lost by stopping it is more than the gain.
-	stopAgeFactor = 3
+	// preemptAgeFactor times preemptAfter is the running time up to which a
+	// request may be preempted while short requests still have a slot. Later,
+	// the work lost by stopping it is more than the gain.
+	preemptAgeFactor = 3
 	// standingAfter is how long requests must have waited without a break
 	// for the queue to be a standing queue, caused by overload, instead of a
 	// burst. A standing queue delays every request and gains nothing, so the
@@ -47,10 +47,10 @@
 	minStanding   = 250 * time.Millisecond
 )
 
-// ShortestJobFirst is the policy of queues that serve callers. It starts requests that
-// are expected to be short before long ones, and prefers those with less wait
-// left. It limits the slots for long requests, so that short ones do not wait
-// behind them.
+// ShortestJobFirst is the policy of queues that serve callers. It starts
+// requests that are expected to be short before long ones, and prefers those
+// with less wait left. It limits the slots for long requests, so that short ones
+// do not wait behind them.
 type ShortestJobFirst struct {
 	buckets map[bucketKey]*bucket
 	// busySince is the start of the current period in which requests have
@@ -59,7 +59,7 @@
 	// shortLoad is the slot time that short requests have used; its rate per
 	// second is the number of slots that they occupy.
 	shortLoad rate
-	// overrun is the service time of requests that ran past stopAfter.
+	// overrun is the service time of requests that ran past preemptAfter.
 	overrun estimate
 	// actualWait and predictedWait add up the actual and the predicted waits
 	// of short requests. Their ratio corrects predictions for delays that
@@ -169,7 +169,7 @@
 
 // expectedTime returns the expected service time of k. Preempted requests take
 // longer than others of their class and shape, so for them it is at least the
-// mean of requests that ran past stopAfter.
+// mean of requests that ran past preemptAfter.
 func (p *ShortestJobFirst) expectedTime(u *upstreamState, k bucketKey, now time.Time) serviceTime {
 	s := u.estimator.expectedTime(k.kind, now)
 	if !k.preempted {
@@ -180,7 +180,7 @@
 }
 
 // overrunMean returns the mean service time in seconds of requests that ran past
-// stopAfter; zero if there were none lately.
+// preemptAfter; zero if there were none lately.
 func (p *ShortestJobFirst) overrunMean(now time.Time) float64 {
 	p.overrun.decay(now)
 	if p.overrun.weight < minWeight {
@@ -257,7 +257,7 @@
 }
 
 func (p *ShortestJobFirst) observe(u *upstreamState, s *Slot, elapsed time.Duration, now time.Time) {
-	if elapsed.Seconds() > u.stopAfter(now) {
+	if elapsed.Seconds() > u.preemptAfter(now) {
 		p.overrun.add(elapsed.Seconds(), math.Inf(1), now)
 	}
 	if s.expectedLong {
@@ -268,7 +268,8 @@
 
 // predict divides the expected work ahead of w by the slots for requests of its
 // length, short or long. Ahead of w are running requests of the same length and
-// waiting ones with an earlier deadline.
+// waiting ones with an earlier deadline. The limit leaves a margin of w's
+// expected service time and safetyDeviations, at most half of what w may wait.
 func (p *ShortestJobFirst) predict(u *upstreamState, w *waiter, now time.Time) (start, limit time.Duration) {
 	limit = p.limit(w, now)
 	if len(u.running) < u.slots && len(p.buckets) == 0 {
@@ -318,7 +319,7 @@
 			others++
 			continue
 		}
-		e := p.expectedTime(u, s.work.bucketKey(), now)
+		e := p.expectedTime(u, s.request.bucketKey(), now)
 		remaining += max(e.meanFor(long)-now.Sub(s.startedAt).Seconds(), 0)
 	}
 	slots = max(u.slots-others, 1)
--- a/admission/slot.go
+++ b/admission/slot.go
@@ -34,7 +34,7 @@
 // Slot is the permission to run one request on the upstream.
 type Slot struct {
 	queue      *Queue
-	work       *waiter
+	request    *waiter
 	once       sync.Once
 	preemption chan struct{}
 
@@ -48,13 +48,13 @@
 	long         bool
 }
 
-// Preempted returns a channel that is closed when the queue preempts the request:
-// the holder has to stop it, release the slot and run it again later.
+// Preempted returns a channel that is closed when the queue preempts the
+// request: the holder has to stop it, release the slot and run it again later.
 func (s *Slot) Preempted() <-chan struct{} { return s.preemption }
 
-// DisablePreemption excludes the request from preemption because it can no longer be run
-// again, for example because a part of its answer has been sent to the caller.
-// It returns false if the request has been preempted already.
+// DisablePreemption excludes the request from preemption because it can no
+// longer be run again, for example because a part of its answer has been sent to
+// the caller. It returns false if the request has been preempted already.
 func (s *Slot) DisablePreemption() bool {
 	s.queue.mu.Lock()
 	defer s.queue.mu.Unlock()
@@ -75,7 +75,7 @@
 	q.upstream.removeRunning(s)
 	if elapsed >= 0 {
 		q.policy.observe(&q.upstream, s, elapsed, now)
-		q.upstream.estimator.observe(s.work.kind(), elapsed, now)
+		q.upstream.estimator.observe(s.request.kind(), elapsed, now)
 	}
 	q.dispatch(now)
 }
@@ -109,7 +109,7 @@
 
 func (q *Queue) start(w *waiter, now time.Time) {
 	w.started = true
-	s := &Slot{queue: q, work: w, startedAt: now, preemption: make(chan struct{}), expectedLong: w.expectedLong, long: w.expectedLong}
+	s := &Slot{queue: q, request: w, startedAt: now, preemption: make(chan struct{}), expectedLong: w.expectedLong, long: w.expectedLong}
 	q.upstream.running = append(q.upstream.running, s)
 	w.grant(s)
 }
