--- a/owner/confirm.go
+++ b/owner/confirm.go
@@ -150,8 +150,8 @@
 }
 
 // wait returns nil once a majority has confirmed p.
-// Errors: *fault.NotRun with ReasonNotPrimary if the term has been replaced,
-// *Unconfirmed if the timeout passed or ctx ended first.
+// Errors: *fault.NotRun with ReasonNotPrimary if the term has been replaced or
+// the confirmer is closed, *Unconfirmed if the timeout passed or ctx ended first.
 func (c *confirmer) wait(ctx context.Context, p *confirmation, timeout time.Duration) error {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -188,9 +188,9 @@
 	}
 }
 
-// completeIfDecided completes p with an error if its term has been replaced,
-// and with success if a majority, which includes this upstream, confirms it.
-// The caller holds mu.
+// completeIfDecided completes p with an error if its term has been replaced or
+// the confirmer is closed, and with success if a majority, which includes this
+// upstream, confirms it. The caller holds mu.
 func (c *confirmer) completeIfDecided(p *confirmation) {
 	switch {
 	case c.closed || c.replaced(p.term):
--- a/owner/execute.go
+++ b/owner/execute.go
@@ -106,7 +106,7 @@
 }
 
 // awaitPrimaryBeforeWrite delays a write until the primary is confirmed. A read
-// needs no wait here: checkRead judges it by the status that precedes its
+// needs no wait here, because checkRead checks the status that precedes its
 // answer.
 func (j *job) awaitPrimaryBeforeWrite(ctx context.Context) error {
 	if j.batch.Mode != upstream.ModeWrite {
--- a/owner/fake_test.go
+++ b/owner/fake_test.go
@@ -344,8 +344,8 @@
 	s := openExchange(t, o, name, class)
 	defer func() { _ = s.Close() }()
 	var a answer
-	done, err := s.Run(context.Background(), b, a.sink)
-	return done, a.text(), err
+	result, err := s.Run(context.Background(), b, a.sink)
+	return result, a.text(), err
 }
 
 func reasonOf(err error) fault.Reason {
--- a/owner/freshness.go
+++ b/owner/freshness.go
@@ -132,8 +132,8 @@
 }
 
 // checkWrite refuses a write before it runs unless this upstream is the primary
-// in the registry's view. confirmCommit confirms the primary again after the
-// commit.
+// in the registry's view, in a term no older than the session's position.
+// confirmCommit confirms the primary again after the commit.
 func (s *stream) checkWrite() error {
 	group := s.upstream.confirmer.currentGroup()
 	if group.Primary != s.upstream.name {
--- a/owner/monitor.go
+++ b/owner/monitor.go
@@ -24,7 +24,7 @@
 	interval := x.job.stream.owner.opts.SilentAfter
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
-	yield := x.job.slot.Preempted()
+	preempted := x.job.slot.Preempted()
 	idleProbes := 0
 	for {
 		select {
@@ -33,8 +33,8 @@
 		case <-ctx.Done():
 			x.abort(finished)
 			return
-		case <-yield:
-			yield = nil
+		case <-preempted:
+			preempted = nil
 			_ = x.cancel(context.Background())
 		case <-timer.C:
 			if x.connLost(ctx, &idleProbes) {
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -24,7 +24,7 @@
 	"lovageslip/upstream"
 )
 
-// Options configure an Owner, which serves the upstreams owned by one host.
+// Options configures an Owner, which serves the upstreams owned by one host.
 type Options struct {
 	Log     *slog.Logger
 	Metrics tally.Scope
@@ -33,7 +33,7 @@
 	Directory registry.Directory
 	Leases    registry.Leases
 	Dialer    upstream.Dialer
-	// Bounds of each upstream's queue; zero fields take the defaults.
+	// Bounds limits each upstream's queue; zero fields take the defaults.
 	Bounds admission.Bounds
 	// Policy makes the policy of each queue; nil means admission.NewShortestJobFirst.
 	Policy func() admission.Policy
--- a/owner/stream.go
+++ b/owner/stream.go
@@ -55,9 +55,9 @@
 	defer cancel()
 	defer context.AfterFunc(s.ctx, cancel)()
 	j := &job{stream: s, batch: batch, sink: sink, conn: pinned, continuation: pinned != nil, arrived: time.Now()}
-	done, err := j.run(ctx)
+	result, err := j.run(ctx)
 	s.endBatch(j.conn)
-	return done, err
+	return result, err
 }
 
 // beginBatch marks the stream as running and returns the connection of its open
@@ -214,13 +214,13 @@
 // complete passes the withheld end of the answer to the caller once the commit
 // is confirmed. It holds no slot and no connection while it waits.
 func (j *job) complete(ctx context.Context, r upstream.Result) (exchange.BatchResult, error) {
-	done := exchange.BatchResult{State: r.State, DatabaseError: r.DatabaseError}
+	result := exchange.BatchResult{State: r.State, DatabaseError: r.DatabaseError}
 	if r.Committed {
 		if err := j.confirmCommit(ctx, r.StatusAfter); err != nil {
 			j.discardConn()
 			return exchange.BatchResult{}, err
 		}
-		done.Commit = r.StatusAfter.Position()
+		result.Commit = r.StatusAfter.Position()
 	}
 	if len(r.AnswerTail) > 0 {
 		if err := j.sink(r.AnswerTail); err != nil {
@@ -228,9 +228,9 @@
 			return exchange.BatchResult{}, j.outcomeUnknown(err)
 		}
 	}
-	done.OwnerTime = time.Since(j.arrived)
-	done.Hint = j.stream.upstream.hint()
-	return done, nil
+	result.OwnerTime = time.Since(j.arrived)
+	result.Hint = j.stream.upstream.hint()
+	return result, nil
 }
 
 // confirmCommit waits until a majority of the group holds the commit in the
--- a/owner/stream_test.go
+++ b/owner/stream_test.go
@@ -86,9 +86,9 @@
 	server := g.servers["a"]
 	for i := range 5 {
 		s := openExchange(t, o, "a", "now")
-		done, err := s.Run(context.Background(), batch(upstream.ModeWrite, "begin"), func([]byte) error { return nil })
+		result, err := s.Run(context.Background(), batch(upstream.ModeWrite, "begin"), func([]byte) error { return nil })
 		assert.NilError(t, err)
-		assert.Equal(t, done.State, upstream.StateOpen)
+		assert.Equal(t, result.State, upstream.StateOpen)
 		assert.NilError(t, s.Close())
 		eventually(t, "the connection to close", func() bool {
 			server.mu.Lock()
@@ -226,9 +226,9 @@
 		t.Fatalf("Drain returned while a transaction was open: %v", err)
 	default:
 	}
-	done, err := tx.Run(context.Background(), batch(upstream.ModeWrite, "commit"), func([]byte) error { return nil })
+	result, err := tx.Run(context.Background(), batch(upstream.ModeWrite, "commit"), func([]byte) error { return nil })
 	assert.NilError(t, err)
-	assert.Equal(t, done.State, upstream.StateIdle)
+	assert.Equal(t, result.State, upstream.StateIdle)
 	assert.NilError(t, <-drained)
 }
 
@@ -261,8 +261,8 @@
 	s := openExchange(t, o, "a", "soon")
 	result := make(chan error, 1)
 	go func() {
-		done, err := s.Run(context.Background(), batch(upstream.ModeRead, "hang"), func([]byte) error { return nil })
-		if err == nil && !done.DatabaseError {
+		batchResult, err := s.Run(context.Background(), batch(upstream.ModeRead, "hang"), func([]byte) error { return nil })
+		if err == nil && !batchResult.DatabaseError {
 			err = &fault.IO{Op: "cancel", Err: context.Canceled}
 		}
 		result <- err
