--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -35,10 +35,10 @@
 	refusal error
 	// unknown is the last unknown outcome of a try; nil if there was none.
 	unknown error
-	// chosen is the router's choice for the last try, routed what the router
-	// was asked.
-	chosen route.Choice
-	routed route.Request
+	// chosen is the router's choice for the last try, and routeRequest the
+	// request to the router that led to it.
+	chosen       route.Choice
+	routeRequest route.Request
 }
 
 func newAttempt(s *Session, request Request, requestID string, c class.Class, sink upstream.Sink) *attempt {
@@ -61,10 +61,10 @@
 		// The channel is read before the view, so that no change between the
 		// two is missed.
 		changed := a.entry.directory.Changed()
-		done, err := a.try(ctx)
+		result, err := a.try(ctx)
 		if err == nil {
 			a.entry.budget.succeeded()
-			return done, nil
+			return result, nil
 		}
 		if !a.prepareRetry(ctx, err, changed) {
 			return exchange.BatchResult{}, a.entry.finalError(a.callerError(ctx, err), a.class.Name, a.class.Wait)
@@ -109,7 +109,7 @@
 }
 
 func (a *attempt) choose(view *registry.View) error {
-	a.routed = route.Request{
+	a.routeRequest = route.Request{
 		View:           view,
 		Database:       a.session.database,
 		Class:          a.class,
@@ -119,7 +119,7 @@
 		Remaining:      a.remaining(),
 		Exclude:        a.excluded,
 	}
-	choice, err := a.entry.router.Choose(a.routed)
+	choice, err := a.entry.router.Choose(a.routeRequest)
 	a.chosen = choice
 	return err
 }
@@ -130,7 +130,7 @@
 	if delay <= 0 {
 		return nil
 	}
-	a.routed.MinPositionAge += delay
+	a.routeRequest.MinPositionAge += delay
 	if !pause.For(ctx, delay) {
 		return cancelled()
 	}
@@ -160,22 +160,22 @@
 	defer a.session.setStream(nil)
 	a.entry.router.RequestStarted(name)
 	begun := time.Now()
-	done, err := stream.Run(ctx, a.batch(), a.forward)
+	result, err := stream.Run(ctx, a.batch(), a.forward)
 	if err != nil {
 		a.entry.router.RequestFinished(name, 0)
 		_ = stream.Close() // the exchange has ended with the error
-		return done, err
+		return result, err
 	}
-	a.entry.router.RequestFinished(name, time.Since(begun)-done.OwnerTime)
-	a.entry.router.RecordHint(done.Hint)
-	if done.State == upstream.StateIdle {
+	a.entry.router.RequestFinished(name, time.Since(begun)-result.OwnerTime)
+	a.entry.router.RecordHint(result.Hint)
+	if result.State == upstream.StateIdle {
 		_ = stream.Close() // nothing is open on it
-		return done, nil
+		return result, nil
 	}
 	a.session.pinned = stream
 	a.session.pinnedMode = a.mode
 	a.session.pinnedClass = a.class.Name
-	return done, nil
+	return result, nil
 }
 
 // forward passes a part of the answer to the caller's sink.
--- a/entry/retry.go
+++ b/entry/retry.go
@@ -116,7 +116,7 @@
 	}
 	switch reason {
 	case fault.ReasonStale:
-		a.entry.router.RecordStale(name, a.routed)
+		a.entry.router.RecordStale(name, a.routeRequest)
 	case fault.ReasonUpstreamUnavailable, fault.ReasonLeaseLapsed, fault.ReasonShutdown, fault.ReasonSilentConnection:
 		a.entry.router.RecordUnavailable(name)
 	}
--- a/entry/session.go
+++ b/entry/session.go
@@ -141,11 +141,11 @@
 		return Reply{}, s.entry.finalError(err, s.className, 0)
 	}
 	a := newAttempt(s, request, requestID, c, sink)
-	done, err := a.run(ctx)
+	result, err := a.run(ctx)
 	if err != nil {
 		return Reply{}, err
 	}
-	return s.finish(done), nil
+	return s.finish(result), nil
 }
 
 // takeRequestID returns the request id and clears it. A batch that only prepares
@@ -165,17 +165,17 @@
 	batch := batchOf(request, s.pinnedMode)
 	batch.WaitRemaining = s.pinnedWait()
 	s.setStream(s.pinned)
-	done, err := s.pinned.Run(ctx, batch, sink)
+	result, err := s.pinned.Run(ctx, batch, sink)
 	if err != nil {
 		s.unpin()
 		return Reply{}, s.entry.finalError(err, s.pinnedClass, 0)
 	}
-	s.entry.router.RecordHint(done.Hint)
-	if done.State == upstream.StateIdle {
+	s.entry.router.RecordHint(result.Hint)
+	if result.State == upstream.StateIdle {
 		s.unpin()
 	}
 	s.entry.budget.succeeded()
-	return s.finish(done), nil
+	return s.finish(result), nil
 }
 
 // pinnedWait returns the wait of the class of the open transaction; zero if the
@@ -194,10 +194,10 @@
 	s.pinned = nil
 }
 
-func (s *Session) finish(done exchange.BatchResult) Reply {
-	reply := Reply{State: done.State, DatabaseError: done.DatabaseError}
-	if done.Commit != (upstream.Position{}) {
-		s.advance(done.Commit)
+func (s *Session) finish(result exchange.BatchResult) Reply {
+	reply := Reply{State: result.State, DatabaseError: result.DatabaseError}
+	if result.Commit != (upstream.Position{}) {
+		s.advance(result.Commit)
 		reply.Token = s.Token()
 	}
 	return reply
--- a/exchange/client.go
+++ b/exchange/client.go
@@ -129,16 +129,16 @@
 	// If the caller's context ends, closing the link ends the stream, and the
 	// owner stops the batch.
 	stop := context.AfterFunc(ctx, link.close)
-	done, err := link.run(batch, sink)
+	result, err := link.run(batch, sink)
 	reusable := stop() && link.reusable()
 	if err != nil {
 		s.detach(link, reusable)
 		return BatchResult{}, withCancelReason(ctx, err)
 	}
-	if done.State == stateIdle || !reusable {
+	if result.State == stateIdle || !reusable {
 		s.detach(link, reusable)
 	}
-	return done, nil
+	return result, nil
 }
 
 // withCancelReason gives an unknown outcome the reason cancelled if the stream
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -19,7 +19,7 @@
 )
 
 func TestAllFieldsCrossTheWire(t *testing.T) {
-	done := exchange.BatchResult{
+	result := exchange.BatchResult{
 		State:         upstream.StateIdle,
 		Commit:        upstream.Position{Term: 3, Offset: 17},
 		DatabaseError: true,
@@ -27,7 +27,7 @@
 			DataAge: time.Second, ExpectedWait: time.Millisecond, Queued: 4},
 	}
 	o := &fakeOwner{run: func(_ context.Context, b upstream.Batch, sink upstream.Sink) (exchange.BatchResult, error) {
-		return done, errors.Join(sink([]byte("one")), sink([]byte("two")))
+		return result, errors.Join(sink([]byte("one")), sink([]byte("two")))
 	}}
 	address := startServer(t, o).address
 	open := exchange.Open{Upstream: "u1", Class: "c", ConfigVersion: 5, MinPosition: upstream.Position{Term: 2, Offset: 9}, Caller: "app", EntryHost: "p1"}
@@ -45,7 +45,7 @@
 	})
 	assert.NilError(t, err)
 	assert.Equal(t, answer.String(), "onetwo")
-	assert.DeepEqual(t, got, done)
+	assert.DeepEqual(t, got, result)
 	assert.DeepEqual(t, o.opened[0], open)
 	assert.DeepEqual(t, o.batches[0], batch)
 }
--- a/exchange/fake_test.go
+++ b/exchange/fake_test.go
@@ -110,9 +110,9 @@
 	}
 	defer s.Close()
 	var answer []byte
-	done, err := s.Run(ctx, upstream.Batch{Mode: upstream.ModeRead, Payload: []byte(payload)}, func(chunk []byte) error {
+	result, err := s.Run(ctx, upstream.Batch{Mode: upstream.ModeRead, Payload: []byte(payload)}, func(chunk []byte) error {
 		answer = append(answer, chunk...)
 		return nil
 	})
-	return string(answer), done, err
+	return string(answer), result, err
 }
--- a/exchange/link.go
+++ b/exchange/link.go
@@ -152,11 +152,11 @@
 		l.broken = true
 		return BatchResult{}, &fault.NotRun{Reason: fault.ReasonUpstreamUnavailable, Detail: "stream to owner ended before the batch was sent"}
 	}
-	done, err := l.receive(sink)
+	result, err := l.receive(sink)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.running = false
-	return done, err
+	return result, err
 }
 
 func (l *link) send(batch upstream.Batch) error {
--- a/exchange/server.go
+++ b/exchange/server.go
@@ -128,8 +128,8 @@
 	case <-ctx.Done():
 		return nil, nil
 	case <-stop:
-		// A request that the client sends at the same moment is not read from
-		// the stream any more, so it has not run.
+		// A request that the client sends at the same moment is not handled
+		// any more, so it has not run.
 		return nil, &fault.NotRun{Reason: fault.ReasonShutdown, Detail: "owner is shutting down"}
 	}
 }
@@ -167,15 +167,15 @@
 func (r *serverRun) run(ctx context.Context, wire *lovageslipv1.Batch) error {
 	batch := batchFromWire(wire, r.requestID)
 	r.requestID = ""
-	done, err := r.exchange.Run(ctx, batch, r.sendChunk)
+	result, err := r.exchange.Run(ctx, batch, r.sendChunk)
 	if err != nil {
 		r.closeExchange()
 		return r.stream.Send(refusalToWire(err))
 	}
-	if done.State == stateIdle {
+	if result.State == stateIdle {
 		r.closeExchange()
 	}
-	return r.stream.Send(doneToWire(done))
+	return r.stream.Send(doneToWire(result))
 }
 
 func (r *serverRun) sendChunk(payload []byte) error {
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -1,7 +1,7 @@
-// Package pool is the connection pool of an owner to one upstream. It limits the
-// dials in progress, backs off after failed dials, keeps to the number of
-// connections that the upstream accepts, and resets connections with session state
-// before they are used again.
+// Package pool implements the pool of an owner's connections to one upstream. It
+// limits the dials in progress, backs off after failed dials, keeps to the number
+// of connections that the upstream accepts, and resets connections with session
+// state before they are used again.
 package pool
 
 import (
@@ -22,7 +22,8 @@
 
 const (
 	// ReservedConnections is how many of the connections that an upstream
-	// accepts are left to status queries, watches, probes and promotion.
+	// accepts are left to status queries, the watchers of package owner,
+	// probes and promotion.
 	ReservedConnections = 4
 	// maxDials bounds the dials in progress, so that the loss of all
 	// connections does not flood an upstream that has just recovered.
@@ -188,8 +189,8 @@
 	return &fault.NotRun{Reason: fault.ReasonUpstreamUnavailable, Detail: detail, RetryAfter: retryAfter}
 }
 
-// abandon removes r, whose caller has gone. It returns a connection that r has
-// received in the meantime to the pool.
+// abandon removes r, whose caller has gone. A connection that r has received in
+// the meantime goes back to the pool.
 func (p *Pool) abandon(r *request) error {
 	p.mu.Lock()
 	for i, w := range p.waiting {
--- a/pool/probe.go
+++ b/pool/probe.go
@@ -6,8 +6,8 @@
 	"lovageslip/upstream"
 )
 
-// ActivityChecker is implemented by connections that can ask the server whether it is
-// still executing a batch of another connection.
+// ActivityChecker is implemented by connections that can ask the server whether
+// it is still executing a batch of another connection.
 type ActivityChecker interface {
 	// Active reports whether the server is executing a batch of other.
 	Active(ctx context.Context, other upstream.Conn) (bool, error)
@@ -19,16 +19,16 @@
 
 // Results of a probe.
 const (
-	// ProbeUnreachable means that no new connection could be opened, or that the
-	// upstream did not answer a status query on it.
+	// ProbeUnreachable means that no new connection could be opened, or that
+	// the upstream did not answer a status query on it.
 	ProbeUnreachable ProbeResult = iota + 1
 	// ProbeExecuting means that the server is still executing the batch.
 	ProbeExecuting
 	// ProbeIdle means that the server executes nothing for the connection: the
 	// batch or its answer was lost on the network.
 	ProbeIdle
-	// ProbeInconclusive means that new connections work, but that the server could not
-	// tell whether it still executes the batch.
+	// ProbeInconclusive means that new connections work, but that the server
+	// could not tell whether it still executes the batch.
 	ProbeInconclusive
 )
 
