--- a/site/state.go
+++ b/site/state.go
@@ -154,8 +154,8 @@
 	return len(state.Upstreams) != before
 }
 
-// editGroup replaces the record of a group, or a new one if it has none, by a
-// copy that edit has changed.
+// editGroup applies edit to a copy of a group's record, or to a new record if the
+// group has none, and stores the result. Earlier states keep the old record.
 func editGroup(state *pb.SiteState, group string, edit func(*pb.SiteGroupState)) {
 	i := slices.IndexFunc(state.Groups, func(g *pb.SiteGroupState) bool { return g.Group == group })
 	if i < 0 {
--- a/sitecontrol/host_test.go
+++ b/sitecontrol/host_test.go
@@ -66,7 +66,7 @@
 }
 
 func (f *fakeUpstreams) StepDown(ctx context.Context, u *pb.SiteUpstream, _ upstream.Term) (UpstreamStatus, error) {
-	f.set(func() {
+	f.edit(func() {
 		f.steppedDown = append(f.steppedDown, u.Id)
 		if f.primary[u.Group] == u.Id {
 			f.primary[u.Group] = ""
@@ -95,7 +95,7 @@
 	return nil
 }
 
-func (f *fakeUpstreams) set(change func()) {
+func (f *fakeUpstreams) edit(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
@@ -119,7 +119,7 @@
 	stop    func()
 }
 
-func listenAnywhere(t *testing.T) net.Listener {
+func listenOnFreePort(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -163,7 +163,7 @@
 	var initial []consensus.Member
 	var seeds []string
 	for range count {
-		l := listenAnywhere(t)
+		l := listenOnFreePort(t)
 		listeners = append(listeners, l)
 		address := l.Addr().String()
 		initial = append(initial, consensus.Member{Name: address, Address: address})
--- a/sitecontrol/lead.go
+++ b/sitecontrol/lead.go
@@ -12,8 +12,8 @@
 
 const (
 	leaderCheckInterval = 50 * time.Millisecond
-	// proxyDecreaseDelay is how long the number of running proxies must stay below
-	// the recorded one before the lower number is recorded, so that the
+	// proxyDecreaseDelay is how long the number of running proxies must stay
+	// below the recorded one before the lower number is recorded, so that the
 	// restart of a proxy changes nothing.
 	proxyDecreaseDelay = 10 * time.Second
 )
--- a/sitecontrol/membership.go
+++ b/sitecontrol/membership.go
@@ -54,18 +54,18 @@
 // runJoin asks for membership while this host knows no leader, because it is
 // new, has lost its disk, or was replaced while it was down.
 func (s *Server) runJoin(ctx context.Context) {
-	lastLeader := now()
+	lastLeaderAt := now()
 	if len(s.options.Consensus.Members()) == 0 {
-		lastLeader = lastLeader.Add(-joinDelay)
+		lastLeaderAt = lastLeaderAt.Add(-joinDelay)
 	}
 	for delay := membershipInterval; ctx.Err() == nil; pause.For(ctx, delay) {
 		delay = membershipInterval
 		if _, _, ok := s.options.Consensus.Leader(); ok {
-			lastLeader = now()
+			lastLeaderAt = now()
 			s.recordLeaderContact()
 			continue
 		}
-		if now().Sub(lastLeader) >= joinDelay && s.join(ctx) {
+		if now().Sub(lastLeaderAt) >= joinDelay && s.join(ctx) {
 			delay = standbyInterval
 		}
 	}
@@ -130,8 +130,8 @@
 	return response.Msg, nil
 }
 
-// setDiscoveredPeers stores the control hosts that a peer has named. They are
-// asked next, because none of this host's own seeds may be able to add it.
+// setDiscoveredPeers stores the control hosts that a peer has named. Later rounds
+// ask them, too, in case none of this host's own seeds can add it.
 func (s *Server) setDiscoveredPeers(members []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/sitecontrol/positions.go
+++ b/sitecontrol/positions.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// sampleRefreshAge is the age from which a group's position is asked for again.
-	// The staleness bounds that operators set are above a second.
+	// sampleRefreshAge is the age from which a group's position is asked for
+	// again. The staleness bounds that operators set are above a second.
 	sampleRefreshAge = 200 * time.Millisecond
 	sampleTimeout    = 400 * time.Millisecond
 	// sampleWait is how long a call waits for a new sample if the newest one
@@ -57,17 +57,17 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := s.samples[group]
-	if g == nil || g.askedAt.IsZero() {
+	sample := s.samples[group]
+	if sample == nil || sample.askedAt.IsZero() {
 		return nil
 	}
 	return &pb.GroupPosition{
 		Group:  group,
-		Term:   uint64(g.position.Term),
-		Offset: uint64(g.position.Offset),
+		Term:   uint64(sample.position.Term),
+		Offset: uint64(sample.position.Offset),
 		// Rounded up, because the proxy relies on the position being no older
 		// than this.
-		AgeMs: uint32(now().Sub(g.askedAt)/time.Millisecond) + 1,
+		AgeMs: uint32(now().Sub(sample.askedAt)/time.Millisecond) + 1,
 	}
 }
 
@@ -77,24 +77,24 @@
 func (s *Server) startSample(group string) (done <-chan struct{}, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := s.samples[group]
-	if g == nil {
-		g = &positionSample{}
-		s.samples[group] = g
+	sample := s.samples[group]
+	if sample == nil {
+		sample = &positionSample{}
+		s.samples[group] = sample
 	}
-	age = now().Sub(g.askedAt)
+	age = now().Sub(sample.askedAt)
 	if age < sampleRefreshAge {
 		return nil, age
 	}
-	if g.done == nil {
+	if sample.done == nil {
 		ended := make(chan struct{})
-		g.done = ended
+		sample.done = ended
 		go func() {
 			defer close(ended)
 			s.takeSample(group)
 		}()
 	}
-	return g.done, age
+	return sample.done, age
 }
 
 func (s *Server) takeSample(group string) {
@@ -107,10 +107,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := s.samples[group]
-	g.done = nil
+	sample := s.samples[group]
+	sample.done = nil
 	if err == nil {
-		g.position, g.askedAt = position, askedAt
+		sample.position, sample.askedAt = position, askedAt
 	}
 }
 
--- a/sitecontrol/primary.go
+++ b/sitecontrol/primary.go
@@ -37,8 +37,8 @@
 	catchUpTimeout  = 800 * time.Millisecond
 	catchUpInterval = 20 * time.Millisecond
 	promoteTimeout  = 1500 * time.Millisecond
-	// promoteRetryInterval is the pause before a promotion order that had no effect
-	// yet is sent to the platform again.
+	// promoteRetryInterval is the pause before a promotion order that had no
+	// effect yet is sent to the platform again.
 	promoteRetryInterval = 900 * time.Millisecond
 	// orderTimeout is how long the promotion of an upstream may take before
 	// another one is ordered. The platform may carry an order out seconds
@@ -121,7 +121,8 @@
 }
 
 // adoptAnnounced records an upstream that announces itself as the primary while
-// the recorded primary is gone or announces that it is a replica.
+// the recorded primary is gone or announces that it is a replica. It reports
+// whether there was one and it has been recorded.
 func (w *groupWatch) adoptAnnounced(ctx context.Context, primary *pb.SiteUpstream, others []*pb.SiteUpstream) bool {
 	if primary != nil && primary.Primary {
 		return false
@@ -175,7 +176,7 @@
 	// probesFailingFor is for how long this host's probes have failed.
 	probesFailingFor time.Duration
 	// cutOffFor is for how long at least half of the proxies have not been able
-	// to reach the primary.
+	// to reach the primary, zero if fewer cannot.
 	cutOffFor time.Duration
 	// proxies is how many proxies may be served by the primary.
 	proxies uint32
@@ -267,24 +268,24 @@
 // findPrimary records the upstream that answers as the primary of the newest
 // term. If none does for primaryLossTimeout, it orders the promotion of one.
 func (w *groupWatch) findPrimary(ctx context.Context, upstreams []*pb.SiteUpstream, g *pb.SiteGroupState) {
-	var leader *probeResult
+	var newest *probeResult
 	for _, p := range w.probeAll(ctx, upstreams) {
 		if p.err != nil || p.status.Role != upstream.RolePrimary {
 			continue
 		}
-		if leader == nil || leader.status.Received.Before(p.status.Received) {
-			leader = &p
+		if newest == nil || newest.status.Received.Before(p.status.Received) {
+			newest = &p
 		}
 	}
-	if leader != nil {
-		w.record(ctx, leader.upstream, "its status reports the primary role")
+	if newest != nil {
+		w.record(ctx, newest.upstream, "its status reports the primary role")
 		return
 	}
 	if w.unavailableSince.IsZero() {
 		w.unavailableSince = now()
 	}
 	if len(upstreams) > 1 && now().Sub(w.unavailableSince) > primaryLossTimeout {
-		w.replace(ctx, nil, upstreams, g, "no upstream leads")
+		w.replace(ctx, nil, upstreams, g, "no upstream answers as the primary")
 	}
 }
 
@@ -325,20 +326,20 @@
 		w.server.log.Info("primary is not asked to step down", "group", w.group, "upstream", primary.Id, "error", err)
 		return
 	}
-	stepped, err := w.server.options.Prober.StepDown(ctx, primary, before.Received.Term+1)
+	after, err := w.server.options.Prober.StepDown(ctx, primary, before.Received.Term+1)
 	if err != nil {
 		w.server.log.Warn("primary did not step down", "group", w.group, "upstream", primary.Id, "error", err)
 		return
 	}
 	for {
 		status, err := w.server.options.Prober.Status(ctx, successor)
-		if err == nil && !status.Received.Before(stepped.Received) {
+		if err == nil && !status.Received.Before(after.Received) {
 			w.server.log.Info("successor holds all commits", "group", w.group, "upstream", successor.Id, "position", status.Received)
 			return
 		}
 		if !pause.For(ctx, catchUpInterval) {
 			w.server.log.Warn("successor lacks commits", "group", w.group, "upstream", successor.Id,
-				"wanted", stepped.Received, "position", status.Received, "error", err)
+				"wanted", after.Received, "position", status.Received, "error", err)
 			return
 		}
 	}
@@ -379,15 +380,16 @@
 	w.server.log.Info("promotion order sent to the platform", "group", w.group, "upstream", id, "token", token, "error", err)
 	var refused *PromotionRefused
 	if errors.As(err, &refused) {
-		// A newer token was accepted before this one, or the upstream is down.
-		// The order counts as timed out, so that another upstream is ordered.
+		// An order with a higher token was accepted before, or the upstream is
+		// down. This order counts as timed out, so that another is made.
 		w.orderedAt = now().Add(-orderTimeout)
 	}
 }
 
 // checkOrder follows up an open order: it records the ordered upstream once it is
 // the primary, orders another one after orderTimeout, and until then sends the
-// order again. That is safe, because an order takes effect once for its token.
+// order again. That is safe, because the platform carries out an order at most
+// once for its token.
 func (w *groupWatch) checkOrder(ctx context.Context, g *pb.SiteGroupState) {
 	if w.orderedAt.IsZero() {
 		w.orderedAt = now()
--- a/sitecontrol/promotion_test.go
+++ b/sitecontrol/promotion_test.go
@@ -12,7 +12,7 @@
 // host.
 func announceGroup(t *testing.T, h *testHost, fake *fakeUpstreams) {
 	t.Helper()
-	fake.set(func() {
+	fake.edit(func() {
 		fake.primary["g"] = "p"
 		fake.received["p"], fake.received["r1"], fake.received["r2"] = 30, 20, 25
 	})
@@ -41,7 +41,7 @@
 	hosts := startCluster(t, 3, fake)
 	storeConfig(t, hosts[0], 1, "one")
 	announceGroup(t, hosts[0], fake)
-	fake.set(func() { fake.dead["p"] = true })
+	fake.edit(func() { fake.dead["p"] = true })
 	waitFor(t, "another primary", func() bool {
 		for _, h := range hosts {
 			reportUnreachable(h, "p")
@@ -103,7 +103,7 @@
 		defer fake.mu.Unlock()
 		return len(fake.steppedDown) > 0
 	})
-	fake.set(func() { fake.received["r2"] = 30 })
+	fake.edit(func() { fake.received["r2"] = 30 })
 	waitFor(t, "another primary", func() bool { return primaryOf(hosts[0], "g") == "r2" })
 	assert.Assert(t, !fake.commitsLost)
 }
--- a/sitecontrol/report.go
+++ b/sitecontrol/report.go
@@ -22,8 +22,8 @@
 	// unreachableLifetime is how long the unreachable upstreams of a report
 	// count. The report is repeated twice in that time.
 	unreachableLifetime = 700 * time.Millisecond
-	// UnreachableReportInterval is how often a report with unreachable upstreams is
-	// repeated.
+	// UnreachableReportInterval is how often a report with unreachable
+	// upstreams is repeated.
 	UnreachableReportInterval = 300 * time.Millisecond
 	// relayInterval is how often a control host checks whether the sum of its
 	// reports is due to be relayed to the leader.
@@ -31,8 +31,8 @@
 	reportTimeout = 600 * time.Millisecond
 )
 
-// Report implements SiteService. Proxies and, for a leader, the other control
-// hosts call it.
+// Report implements SiteService. Proxies call it, and so do the other control
+// hosts while this host leads.
 func (s *Server) Report(_ context.Context, r *connect.Request[pb.ReportRequest]) (*connect.Response[pb.ReportResponse], error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/sitecontrol/server.go
+++ b/sitecontrol/server.go
@@ -67,7 +67,7 @@
 }
 
 // PromotionRefused reports an order that the platform refused, because it has
-// accepted one with a newer token or because the upstream does not run.
+// accepted one with a higher token or because the upstream does not run.
 type PromotionRefused struct {
 	Group, Upstream string
 	Token           uint64
@@ -115,7 +115,7 @@
 	// announcements holds, by upstream id, the last announcement that this host
 	// received as the leader, and when. The start of a term resets the times.
 	announcements map[string]announcement
-	// standbyInfo is set while this host stands by, and nil otherwise.
+	// standby is set while this host stands by, and nil otherwise.
 	standby *standbyInfo
 	// discoveredPeers are the control hosts that a peer named when it could
 	// not decide whether this host may join.
--- a/sitecontrol/server_test.go
+++ b/sitecontrol/server_test.go
@@ -74,7 +74,7 @@
 	}
 	hosts[2].stop()
 	hosts[2].stop = func() {}
-	l := listenAnywhere(t)
+	l := listenOnFreePort(t)
 	successor := &testHost{t: t, address: l.Addr().String(), dir: t.TempDir(), seeds: hosts[0].seeds, fake: hosts[0].fake}
 	successor.start(l, nil)
 	t.Cleanup(func() { successor.stop() })
@@ -100,7 +100,7 @@
 	assert.Equal(t, readDocument(hosts[1]), large.String())
 }
 
-// isVoter reports whether h counts the other host as a voter with the incarnation
+// isVoter reports whether h lists the host voter as a voter with the incarnation
 // of its present data folder.
 func isVoter(h, voter *testHost) bool {
 	for _, m := range h.node.Members() {
--- a/sitecontrol/standby.go
+++ b/sitecontrol/standby.go
@@ -102,9 +102,9 @@
 	return s.memberAddresses(), ""
 }
 
-// StandbyLeaderHost returns the IP of the leading control host if this host stands by
-// and knows the leader. Calls are to be sent there, because a host that stands
-// by cannot serve them.
+// StandbyLeaderHost returns the IP of the leading control host if this host
+// stands by and knows the leader. Calls are to be sent there, because a host that
+// stands by cannot serve them.
 func (s *Server) StandbyLeaderHost() (host string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/sitecontrol/standby_test.go
+++ b/sitecontrol/standby_test.go
@@ -77,7 +77,7 @@
 // startHost starts one more host, which asks to be added.
 func startHost(t *testing.T, seeds []string) *testHost {
 	t.Helper()
-	l := listenAnywhere(t)
+	l := listenOnFreePort(t)
 	h := &testHost{t: t, address: l.Addr().String(), dir: t.TempDir(), seeds: seeds, fake: newFakeUpstreams()}
 	h.start(l, nil)
 	t.Cleanup(func() { h.stop() })
--- a/sitewatch/sitewatch.go
+++ b/sitewatch/sitewatch.go
@@ -60,9 +60,9 @@
 type Proxy interface {
 	// SetView is called with each newer view, from one goroutine.
 	SetView(*site.View)
-	// PrimaryReachability returns the ids of the primaries that the proxy cannot reach, and
-	// of those to which it has sent no request lately, so that it does not
-	// know whether it can.
+	// PrimaryReachability returns the ids of the primaries that the proxy
+	// cannot reach, and of those to which it has sent no request lately, so
+	// that it does not know whether it can.
 	PrimaryReachability() (unreachable, untried []string)
 }
 
@@ -302,7 +302,7 @@
 			continue
 		}
 		if !slices.Equal(unreachable, last) {
-			w.log.Info("primaries that the proxy cannot reach changed", "upstreams", unreachable)
+			w.log.Info("list of primaries that the proxy cannot reach changed", "upstreams", unreachable)
 		}
 		if w.report(ctx, unreachable, untried) {
 			last, sentAt = unreachable, bootclock.Now()
