--- a/failover/failover.go
+++ b/failover/failover.go
@@ -49,11 +49,11 @@
 	// its replicas before it counts as lost. With a shorter time, working
 	// primaries are reported as lost at 40 ms round trips with 20 ms jitter.
 	lossTimeout = time.Second
-	// ownerDropTime is how long an owner may report a primary as unreachable that
-	// the leader reaches, before it is replaced as the owner.
+	// ownerDropTime is how long an owner may report a primary as unreachable
+	// that the leader reaches, before it is replaced as the owner.
 	ownerDropTime = 3 * time.Second
-	// maxReportAge is how old a report may be to be used: three intervals of the
-	// owners' heartbeats.
+	// maxReportAge is how old a report may be to be used: three intervals of
+	// the owners' heartbeats.
 	maxReportAge = 1500 * time.Millisecond
 	// reportLag is how long after a change owners may still report what they
 	// saw before it: the intervals of a poll and of a heartbeat.
@@ -65,14 +65,14 @@
 	// one. It is longer than adoptDelay, because an election may discard what
 	// only a member holds that has not answered yet.
 	electDelay = 5 * time.Second
-	// extraFenceWait is how long replies are awaited after a majority has been
-	// fenced, because a member that replies later may be more advanced.
+	// extraFenceWait is how long further replies are awaited after a majority
+	// has been fenced, because a member that replies later may be more advanced.
 	extraFenceWait = 50 * time.Millisecond
-	// memberRemovalTime is how long a member must be unreachable to be removed. It
-	// becomes a member again when it returns.
+	// memberRemovalTime is how long a member must be unreachable to be removed.
+	// It becomes a member again when it returns.
 	memberRemovalTime = time.Minute
-	// leavingRemovalTime is how long a leaving upstream must be unreachable before
-	// its registration is removed.
+	// leavingRemovalTime is how long a leaving upstream must be unreachable
+	// before its registration is removed.
 	leavingRemovalTime = time.Minute
 	// minMembers is how many members must remain when an unreachable one is
 	// removed.
--- a/failover/failover_test.go
+++ b/failover/failover_test.go
@@ -105,7 +105,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for term, servers := range n.primariesByTerm {
-		assert.Assert(t, len(servers) <= 1, "term %d was led by %v", term, servers)
+		assert.Assert(t, len(servers) <= 1, "term %d had the primaries %v", term, servers)
 	}
 }
 
@@ -340,7 +340,7 @@
 }
 
 // A group without any primary must elect one if a majority answers.
-func TestPrimaryIsElectedIfNoneLeads(t *testing.T) {
+func TestPrimaryIsElectedIfThereIsNone(t *testing.T) {
 	n, state := newNet("a", "b", "c"), controlstate.New(controlstate.Options{})
 	n.write("a", 5, "b")
 	n.edit("a", func(s *fakeServer) { s.role, s.down = upstream.RoleReplica, true })
--- a/failover/fake_test.go
+++ b/failover/fake_test.go
@@ -37,8 +37,9 @@
 	primariesByTerm map[upstream.Term]map[string]bool
 }
 
-// crash makes a control leader fail at its n-th interaction, a call to a server
-// or a proposal, before or after that takes effect.
+// crash makes a control leader fail at an interaction, a call to a server or a
+// proposal. after counts down to that interaction; effect says whether it still
+// takes effect.
 type crash struct {
 	mu     sync.Mutex
 	after  int
@@ -150,12 +151,12 @@
 	crash *crash
 }
 
-func (v *fakeDialer) Dial(_ context.Context, address, _ string) (upstream.Conn, error) {
-	v.net.mu.Lock()
-	defer v.net.mu.Unlock()
-	for _, s := range v.net.servers {
+func (d *fakeDialer) Dial(_ context.Context, address, _ string) (upstream.Conn, error) {
+	d.net.mu.Lock()
+	defer d.net.mu.Unlock()
+	for _, s := range d.net.servers {
 		if s.address == address && !s.down {
-			return &fakeConn{net: v.net, server: s, crash: v.crash}, nil
+			return &fakeConn{net: d.net, server: s, crash: d.crash}, nil
 		}
 	}
 	return nil, &fault.NotRun{Reason: fault.ReasonUpstreamUnavailable}
--- a/failover/members.go
+++ b/failover/members.go
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// replaceLeaving changes a leaving primary while it still works. It starts the
+// replaceLeaving replaces a leaving primary while it still works. It starts the
 // change only if a majority answers and a member that is not leaving has caught
 // up with the watermark.
 func (s *Supervisor) replaceLeaving(ctx context.Context, g *pb.Group, facts groupFacts) error {
@@ -178,13 +178,13 @@
 	if err != nil {
 		return err
 	}
-	ready := 0
+	caughtUp := 0
 	for _, r := range replies {
 		if !frame.Upstreams[r.name].GetLeaving() {
-			ready += countHolding([]reply{r}, g, facts.watermark)
+			caughtUp += countHolding([]reply{r}, g, facts.watermark)
 		}
 	}
-	if ready == 0 || len(succeeded(replies)) < majority(g) {
+	if caughtUp == 0 || len(succeeded(replies)) < majority(g) {
 		return &NoMajority{Database: g.GetDatabase(), Answered: len(succeeded(replies)), Needed: majority(g)}
 	}
 	return s.startChange(ctx, g, nextTerm(g, replies), reasonLeaving)
--- a/failover/watch.go
+++ b/failover/watch.go
@@ -29,11 +29,13 @@
 	retryAt time.Time
 	// firstSeenAt is when this leader first saw the group.
 	firstSeenAt time.Time
-	// stepSince is since when this leader has seen the group at step and term.
+	// step and term are the logged step and term of the group. This leader has
+	// seen the group at them since stepSince.
 	step      pb.PromotionStep
 	term      uint64
 	stepSince time.Time
-	// membersSince is since when this leader has seen the group with members.
+	// members are the logged members of the group. This leader has seen the
+	// group with them since membersSince.
 	members      []string
 	membersSince time.Time
 	// watermark is a position of the primary that was read after one lease
