--- a/consensus/append.go
+++ b/consensus/append.go
@@ -76,8 +76,9 @@
 }
 
 // retryIndexLocked returns the index from which the leader should send entries
-// after this host's log didn't match at prev. It skips the whole term at prev,
-// so that the leader needs one request per term and not one per entry.
+// after this host's log didn't match at prevIndex. It skips the whole term of
+// the entry there, so that the leader needs one request per term and not one per
+// entry.
 func (n *Node) retryIndexLocked(prevIndex uint64) uint64 {
 	if prevIndex > n.log.lastIndex() {
 		return n.log.lastIndex() + 1
--- a/consensus/consensus.go
+++ b/consensus/consensus.go
@@ -1,9 +1,9 @@
 // Package consensus replicates a log of commands among the control hosts with
 // the Raft algorithm: terms, elections with pre-votes, replication, snapshots,
-// and membership changes one at a time. A control daemon starts one Node.
-// Packages control and sitecontrol propose commands through it and implement
-// the StateMachine that applies them; to this package, commands are opaque
-// bytes.
+// and membership changes one at a time. Packages daemon and platform start a
+// Node on each control host. Packages control and sitecontrol propose commands
+// through it, and the state machines in controlstate and site apply them. To
+// this package, commands are opaque bytes.
 //
 // # Durability
 //
--- a/consensus/disk.go
+++ b/consensus/disk.go
@@ -63,7 +63,7 @@
 	n.reloadMembersLocked()
 }
 
-// awaitDisk waits until an operation is synced. nil counts as synced.
+// awaitDisk waits until an operation is synced. A nil operation counts as synced.
 func (n *Node) awaitDisk(ctx context.Context, op *diskOp) error {
 	if op == nil {
 		return nil
--- a/consensus/disk_test.go
+++ b/consensus/disk_test.go
@@ -162,9 +162,9 @@
 	files, err := filepath.Glob(filepath.Join(h.options.DataDir, "*.snapshot"))
 	assert.NilError(t, err)
 	assert.NilError(t, os.Remove(files[0]))
-	var bad *UnusableLog
+	var unusable *UnusableLog
 	err = h.tryStart()
-	assert.Check(t, errors.As(err, &bad), "%v", err)
+	assert.Check(t, errors.As(err, &unusable), "%v", err)
 }
 
 // Guards against a host with a full disk that goes on voting, acknowledging
@@ -208,7 +208,7 @@
 	}
 	first := make(chan error, 1)
 	go func() { first <- leader.node.AddMember(context.Background(), "d", d.address) }()
-	waitFor(t, "the first change to be logged", func() bool { return len(leader.node.Members()) == 4 })
+	waitFor(t, "the first change to be in the log", func() bool { return len(leader.node.Members()) == 4 })
 	var refused *ChangeRefused
 	ctx, cancel := shortContext()
 	defer cancel()
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -198,7 +198,7 @@
 			granted++
 		}
 	}
-	// The outcome is known, so the calls still in progress need not end.
+	// The outcome is known, so calls that are still in progress are cancelled.
 	cancel()
 	return granted >= round.needed
 }
--- a/consensus/entries.go
+++ b/consensus/entries.go
@@ -8,7 +8,8 @@
 
 // entryLog is the part of the log that is held in memory: the entries after
 // baseIndex. An entry is never changed once it is in the log. The base fields
-// describe the last entry that was compacted into a snapshot.
+// describe the last entry that was dropped from memory because a snapshot covers
+// it.
 type entryLog struct {
 	baseIndex   uint64
 	baseTerm    uint64
--- a/consensus/errors.go
+++ b/consensus/errors.go
@@ -72,8 +72,8 @@
 
 func (e *StorageFailed) Unwrap() error { return e.Err }
 
-// noLeader suggests a retry after about the time that an election takes. The time
-// is random, so that callers don't retry all at once.
+// noLeader returns a *fault.NotRun that suggests a retry after about the time that
+// an election takes. The time is random, so that callers don't retry all at once.
 func noLeader(detail string) error {
 	wait := electionTimeoutMin + rand.N(electionTimeoutMax)
 	return &fault.NotRun{Reason: ReasonNoLeader, Detail: detail, RetryAfter: wait}
--- a/consensus/formation_test.go
+++ b/consensus/formation_test.go
@@ -51,8 +51,8 @@
 	n := wiped.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, pre := range []bool{true, false} {
-		r := &pb.RequestVoteRequest{Term: 50, Candidate: "x", LastTerm: 1, PreVote: pre}
+	for _, preVote := range []bool{true, false} {
+		r := &pb.RequestVoteRequest{Term: 50, Candidate: "x", LastTerm: 1, PreVote: preVote}
 		r.LastIndex = formationIndex + 1
 		assert.Check(t, !n.decideVoteLocked(r))
 		r.LastIndex = formationIndex
--- a/consensus/leader.go
+++ b/consensus/leader.go
@@ -19,9 +19,10 @@
 	ctx       context.Context
 	cancel    context.CancelFunc
 	startedAt time.Time
-	// barrierIndex is the index of the leader's first entry of its own term,
-	// or 0 before that entry is appended. Until it is committed, the leader
-	// can't know which earlier entries are, and refuses reads and changes.
+	// barrierIndex is the index of the barrier, an entry without a command
+	// that the leader appends in its own term, or 0 before that. Until the
+	// barrier is committed, the leader can't know which earlier entries are,
+	// and refuses reads and changes.
 	barrierIndex uint64
 	peers        map[string]*peer
 	waiters      map[uint64]*waiter
@@ -36,9 +37,9 @@
 	cancel context.CancelFunc
 	wake   chan struct{}
 
-	nextIndex  uint64 // index of the next entry to send
-	matchIndex uint64 // last entry that the peer is known to have synced
-	sentCommit uint64 // commit index that the peer has acknowledged
+	nextIndex   uint64 // index of the next entry to send
+	matchIndex  uint64 // last entry that the peer is known to have synced
+	ackedCommit uint64 // commit index that the peer has acknowledged
 	// ackedSendTime is when the latest request that the peer answered was
 	// sent. The lease counts from that time, because the peer may have
 	// handled the request at any time since then.
@@ -138,9 +139,9 @@
 	return &pb.Entry{Index: n.log.lastIndex() + 1, Term: n.term}
 }
 
-// advanceLocked runs on the leader after a peer's response or a local sync. It
-// continues the formation of the cluster, raises the commit index and promotes
-// members that have caught up.
+// advanceLocked runs on the leader when it starts to lead and after each peer's
+// response or local sync. It continues the formation of the cluster, raises the
+// commit index and promotes a member that has caught up.
 func (n *Node) advanceLocked() {
 	if n.log.lastIndex() <= formationIndex {
 		n.advanceFormationLocked()
--- a/consensus/replicate.go
+++ b/consensus/replicate.go
@@ -88,7 +88,7 @@
 func (n *Node) awaitWork(p *peer) bool {
 	for {
 		n.mu.Lock()
-		hasWork := p.matchIndex == 0 || p.nextIndex <= n.log.lastIndex() || p.sentCommit < n.commitIndex
+		hasWork := p.matchIndex == 0 || p.nextIndex <= n.log.lastIndex() || p.ackedCommit < n.commitIndex
 		// Before the first entry there is nothing to replicate.
 		hasWork = hasWork && !n.logEmptyLocked()
 		n.mu.Unlock()
@@ -162,7 +162,7 @@
 	}
 	p.matchIndex = max(p.matchIndex, r.MatchIndex)
 	p.nextIndex = max(p.nextIndex, r.MatchIndex+1)
-	p.sentCommit = min(request.Commit, r.MatchIndex)
+	p.ackedCommit = min(request.Commit, r.MatchIndex)
 	n.advanceLocked()
 	return r.MatchIndex >= request.PrevIndex+uint64(len(request.Entries))
 }
--- a/consensus/snapshot.go
+++ b/consensus/snapshot.go
@@ -47,7 +47,7 @@
 		return false
 	}
 	// The snapshot itself doesn't count towards a quorum. The response to the
-	// nextIndex batch does.
+	// next batch of entries does.
 	p.nextIndex = meta.Index + 1
 	return true
 }
--- a/consensus/status.go
+++ b/consensus/status.go
@@ -31,8 +31,8 @@
 	Err error
 }
 
-// MemberStatus is what this host knows of a member. Only a leader knows Match,
-// Silent and WrongIncarnation of the other members.
+// MemberStatus is what this host knows of a member. For members other than
+// itself, only a leader fills in the fields after Member.
 type MemberStatus struct {
 	Member
 	// Match is the last entry that the member is known to have synced.
--- a/consensus/storage.go
+++ b/consensus/storage.go
@@ -36,7 +36,7 @@
 	// don't continue the snapshot. A kindReset record must then precede further
 	// entries, so that the dropped ones are not replayed.
 	entriesDiscarded bool
-	// requiredSnapshot is the highest index in a snapshot mark. A snapshot at
+	// requiredSnapshot is the highest index of all snapshot marks. A snapshot at
 	// this index or later must exist.
 	requiredSnapshot uint64
 }
--- a/consensus/transport.go
+++ b/consensus/transport.go
@@ -8,8 +8,8 @@
 )
 
 // NewHTTPClient returns a client that speaks HTTP/2 without TLS. It pings idle
-// connections, so that a connection that carries no data any more without being
-// closed is replaced.
+// connections, so that one that passes no data any more but was never closed is
+// replaced.
 func NewHTTPClient() *http.Client {
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
