--- a/wal/recover.go
+++ b/wal/recover.go
@@ -11,7 +11,7 @@
 
 // OpenLog reads the log back and opens it for appending. It returns all
 // records in order, or *Damaged. It removes a torn record at the end of the
-// log, see the package comment. The returned records are synced.
+// log; see the package comment. The returned records are synced.
 func (f *Folder) OpenLog() (*Log, []Record, error) {
 	l := &Log{folder: f, nextSeq: 1}
 	names, err := f.namesWithSuffix(segmentSuffix)
