--- a/controlstate/classes.go
+++ b/controlstate/classes.go
@@ -33,9 +33,8 @@
 	return &pb.Class{Name: c.Name, WaitMicros: c.Wait.Microseconds(), AgeMicros: c.Age.Microseconds()}
 }
 
-// ValidateClassChange validates a class change. It returns the reasons why the
-// change can't be accepted in any state, or none. The result depends on the
-// request alone.
+// ValidateClassChange returns the reasons why a class change can't be accepted in
+// any state, or none. The result depends on the request alone.
 func ValidateClassChange(r *pb.ChangeClassRequest) []string {
 	var problems []string
 	if r.GetChangeId() == "" || len(r.GetChangeId()) > maxChangeIDBytes {
@@ -180,7 +179,7 @@
 // the oldest answer once it holds more than limit.
 type answerCache struct {
 	limit int
-	ids   []string
+	ids   []string // oldest first
 	byID  map[string]*pb.ChangeClassResponse
 }
 
--- a/controlstate/state.go
+++ b/controlstate/state.go
@@ -71,7 +71,8 @@
 }
 
 // Apply applies a committed command and returns an encoded CommandResult. A
-// command that cannot be decoded or that is refused changes nothing.
+// command that cannot be decoded changes nothing. Of a refused command, at most
+// its leader term and the answer to its class change are stored.
 func (s *State) Apply(_ uint64, command []byte) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,7 +153,8 @@
 	s.metrics.Counter("commands_refused_total").Inc(1)
 }
 
-// incrementVersion marks a change of the state that does not affect requests.
+// incrementVersion marks a change of the state. After a change that affects
+// requests, incrementConfigVersion is called instead.
 func (s *State) incrementVersion() {
 	s.version++
 	s.frame = nil
--- a/controlstate/upstreams.go
+++ b/controlstate/upstreams.go
@@ -7,7 +7,8 @@
 )
 
 // Registration returns the registration of the upstream that sent announcement
-// a. It keeps the owner of the earlier registration, which may be nil.
+// a. It keeps the owner of the earlier registration, registered, which may be
+// nil.
 func Registration(registered *pb.Upstream, a *pb.AnnounceRequest) *pb.Upstream {
 	return &pb.Upstream{
 		Name:           a.GetName(),
--- a/controlstate/watch.go
+++ b/controlstate/watch.go
@@ -65,7 +65,8 @@
 	return s.newFrame()
 }
 
-// WithChanges returns a new frame: f with the changes of a later message of the stream.
+// WithChanges returns a new frame that consists of f and the changes in a later
+// message of the stream.
 func (f *Frame) WithChanges(m *pb.WatchResponse) *Frame {
 	s := New(Options{})
 	s.version = m.GetVersion()
