--- a/control/agent_test.go
+++ b/control/agent_test.go
@@ -32,7 +32,7 @@
 
 // A proxy whose control host is cut off from the others gets no more changes
 // from it. It must notice within Timing.MaxBehind and watch another host.
-func TestAgentLeavesAControlHostThatIsBehind(t *testing.T) {
+func TestAgentSwitchesFromAControlHostThatIsBehind(t *testing.T) {
 	c := startCluster(t, 3, shortTiming, nil)
 	awaitLeader(t, c.nodes[0])
 	agent := startAgent(t, "p1", c.nodes[1].address, c.nodes[2].address)
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -133,17 +133,17 @@
 		for i := range requests {
 			requests[i] = connect.NewRequest(populatedHeartbeat(i))
 		}
-		i, answered := 0, 0
+		i, responseSize := 0, 0
 		b.ReportAllocs()
 		for b.Loop() {
 			r, err := n.server.Heartbeat(b.Context(), requests[i%hosts])
 			assert.NilError(b, err)
 			assert.Equal(b, len(r.Msg.GetRenewed()), upstreamsPerDatabase)
-			answered = proto.Size(r.Msg)
+			responseSize = proto.Size(r.Msg)
 			i++
 		}
 		b.ReportMetric(float64(proto.Size(requests[0].Msg)), "request-bytes")
-		b.ReportMetric(float64(answered), "response-bytes")
+		b.ReportMetric(float64(responseSize), "response-bytes")
 	})
 }
 
@@ -156,14 +156,14 @@
 		firstRequest := connect.NewRequest(populatedHeartbeat(0))
 		_, err := n.client.Heartbeat(b.Context(), firstRequest)
 		assert.NilError(b, err)
-		before, cpu, i := n.traffic.Load(), processorTime(b), 0
+		trafficBefore, cpuBefore, i := n.traffic.Load(), processorTime(b), 0
 		for b.Loop() {
 			_, err := n.client.Heartbeat(b.Context(), connect.NewRequest(populatedHeartbeat(i%hosts)))
 			assert.NilError(b, err)
 			i++
 		}
-		b.ReportMetric(float64(n.traffic.Load()-before)/float64(i), "wire-bytes/op")
-		b.ReportMetric(float64(processorTime(b)-cpu)/float64(i), "cpu-ns/op")
+		b.ReportMetric(float64(n.traffic.Load()-trafficBefore)/float64(i), "wire-bytes/op")
+		b.ReportMetric(float64(processorTime(b)-cpuBefore)/float64(i), "cpu-ns/op")
 	})
 }
 
--- a/control/controlclient/client.go
+++ b/control/controlclient/client.go
@@ -16,9 +16,9 @@
 	"lovageslip/gen/lovageslip/v1/lovageslipv1connect"
 )
 
-// ForwardedHeader marks a call that a control host or proxy has forwarded. A
-// control host that is not the leader refuses such a call instead of
-// forwarding it again. Its value is the name of the forwarding host.
+// ForwardedHeader marks a call that a control host has forwarded to the leader.
+// A control host that is not the leader refuses such a call instead of
+// forwarding it again. The value is the name of the forwarding host.
 const ForwardedHeader = "Lovageslip-Forwarded"
 
 const (
--- a/control/failover_test.go
+++ b/control/failover_test.go
@@ -46,7 +46,7 @@
 }
 
 type databaseConn struct {
-	upstream.Conn // calls that a control leader never makes
+	upstream.Conn // nil; the control leader calls only the methods below
 	databases     *fakeDatabases
 	address       string
 }
--- a/control/leases.go
+++ b/control/leases.go
@@ -100,7 +100,8 @@
 	case !known:
 		return !now.Before(t.leaderStartedAt.Add(t.expiry))
 	case e.epoch > u.GetOwnerEpoch():
-		// A new epoch was proposed earlier, and the outcome is unknown.
+		// reserve was called earlier, but the proposal of the new owner has
+		// failed or its outcome is unknown.
 		return true
 	case e.released && e.epoch == u.GetOwnerEpoch():
 		return true
--- a/control/server.go
+++ b/control/server.go
@@ -24,7 +24,7 @@
 	"lovageslip/upstream"
 )
 
-// Options holds the dependencies of a Server and how it runs.
+// Options holds the dependencies and the timing of a Server.
 type Options struct {
 	Log     *slog.Logger
 	Metrics tally.Scope
@@ -37,7 +37,8 @@
 	// Dialer connects to upstreams for changes of primary. If it is nil, the
 	// host changes no primary.
 	Dialer upstream.Dialer
-	// HTTPClient reaches other control hosts; NewHTTPClient if nil.
+	// HTTPClient reaches other control hosts; controlclient.NewHTTPClient if
+	// nil.
 	HTTPClient connect.HTTPClient
 	// Timing overrides the default durations in tests; zero fields keep them.
 	Timing Timing
@@ -95,8 +96,8 @@
 	return lovageslipv1connect.NewControlServiceHandler(s)
 }
 
-// propose appends a command to the replicated log and returns the result that
-// applying it had.
+// propose appends a command to the replicated log and returns the result of
+// applying it.
 func (s *Server) propose(ctx context.Context, cmd *pb.Command) (*pb.CommandResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.timing.ProposeTimeout)
 	defer cancel()
--- a/control/server_test.go
+++ b/control/server_test.go
@@ -69,7 +69,7 @@
 
 // Two hosts must never hold a lease on one upstream: the second may get it
 // only after the lease of the first has expired.
-func TestLeaseIsNotGivenToASecondHostBeforeExpiry(t *testing.T) {
+func TestLeaseIsNotGrantedToASecondHostBeforeExpiry(t *testing.T) {
 	c := startCluster(t, 1, shortTiming, nil)
 	n := c.nodes[0]
 	awaitLeader(t, n)
--- a/member/agent_test.go
+++ b/member/agent_test.go
@@ -93,7 +93,7 @@
 	sent := 0
 	for ctx.Err() == nil {
 		f.mu.Lock()
-		messages, alive := f.messages[min(sent, len(f.messages)):], f.keepsSending
+		messages, keepsSending := f.messages[min(sent, len(f.messages)):], f.keepsSending
 		f.mu.Unlock()
 		for _, m := range messages {
 			if err := stream.Send(m); err != nil {
@@ -101,7 +101,7 @@
 			}
 			sent++
 		}
-		if sent > 0 && alive {
+		if sent > 0 && keepsSending {
 			last := f.lastMessage()
 			if err := stream.Send(&pb.WatchResponse{Version: last.GetVersion(), ConfigVersion: last.GetConfigVersion()}); err != nil {
 				return err
@@ -183,7 +183,7 @@
 
 // A renewal must not be in force before the view has reached the version that
 // it requires: the owner would serve under an old configuration.
-func TestRenewalCountsOnlyWithTheRequiredVersion(t *testing.T) {
+func TestRenewalIsInForceOnlyWithTheRequiredVersion(t *testing.T) {
 	f := startFakeControl(t, wholeState(5))
 	f.answer = renewal(6)
 	agent := startAgent(t, f)
@@ -270,7 +270,7 @@
 
 // An upstream may announce itself to any proxy. The proxy must find a working
 // control host to forward the announcement to.
-func TestAnnouncementIsPassedOnToAControlHostThatWorks(t *testing.T) {
+func TestAnnouncementIsForwardedToAWorkingControlHost(t *testing.T) {
 	failing, healthy := startFakeControl(t, wholeState(5)), startFakeControl(t, wholeState(5))
 	healthy.answer = renewal(5)
 	agent := startAgent(t, failing, healthy)
