--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin is a client of the control hosts for operators: it changes and lists
-// classes, reads the history and status, and changes the members. The command-line
-// tool cmd/lovageslip and daemon.RunDev use it.
+// Package admin is a client of the control hosts for operators: it changes and
+// lists classes and members, and reads the history and the status. The
+// command-line tool cmd/lovageslip and daemon.RunDev use it.
 package admin
 
 import (
--- a/cmd/lovageslip-upstream/main.go
+++ b/cmd/lovageslip-upstream/main.go
@@ -99,8 +99,8 @@
 	return options, setCredentials(f, &options)
 }
 
-// setCredentials reads the certificates, keys and passwords that the flags name into
-// options.
+// setCredentials reads the certificates, keys and passwords that the flags name
+// into options.
 func setCredentials(f flags, options *standin.Options) error {
 	var err error
 	options.TLS, err = tlsconf.Server(settings.TLS{Certificate: f.Certificate, Key: f.Key})
--- a/cmd/lovageslip/main.go
+++ b/cmd/lovageslip/main.go
@@ -1,6 +1,6 @@
-// Command lovageslip is the operators' command-line tool. It checks settings files,
-// changes and lists classes and control hosts, shows the state and the history of the
-// system, runs a trial system on loopback and generates load.
+// Command lovageslip is the operators' command-line tool. It checks settings
+// files, changes and lists classes and control hosts, shows the state and the
+// history of the system, runs a trial system on loopback and generates load.
 package main
 
 import (
--- a/daemon/auth.go
+++ b/daemon/auth.go
@@ -32,7 +32,7 @@
 
 // warnAboutPlaintextLogins logs a warning if callers log in with passwords but
 // without TLS: SCRAM hides the password, but not what is sent after the login,
-// and an active attacker can take over the connection then.
+// and an active attacker can take over the connection once the login is done.
 func (p *proxy) warnAboutPlaintextLogins() {
 	if p.settings.Auth == settings.AuthSCRAM && !p.settings.TLSCallers.Enabled() {
 		p.log.Warn("callers log in with passwords but without TLS; set [tls_callers]")
--- a/daemon/dev.go
+++ b/daemon/dev.go
@@ -34,8 +34,8 @@
 	// Policy returns the policy of a new admission queue; nil for the default
 	// policy. Benchmarks set it to compare with a baseline.
 	Policy func() admission.Policy
-	// Ready is called once every class is defined and a primary is known, so
-	// that callers can connect.
+	// Ready is called once every class is defined, a primary is known and
+	// every upstream has an owner, so that callers can connect.
 	Ready func()
 }
 
@@ -136,7 +136,7 @@
 	}
 }
 
-// setUpDev defines the classes and calls Ready once a primary is known.
+// setUpDev defines the classes and calls Ready once checkDevReady succeeds.
 func setUpDev(ctx context.Context, o DevOptions) error {
 	ctx, cancel := context.WithTimeout(ctx, devSetupTimeout)
 	defer cancel()
--- a/daemon/ops.go
+++ b/daemon/ops.go
@@ -1,5 +1,6 @@
 // Package daemon assembles the parts of a proxy host, of a control host and of
-// the development set-up. The programs in cmd only parse flags and call it.
+// the development set-up. The programs lovageslip-proxy and lovageslip-control
+// and the commands dev and check of lovageslip only parse flags and call it.
 package daemon
 
 import (
--- a/daemon/proxy.go
+++ b/daemon/proxy.go
@@ -62,11 +62,11 @@
 func RunProxy(ctx context.Context, s *settings.Proxy, o ProxyOptions, log *slog.Logger) error {
 	scope, metricsHandler, closer := metrics.NewScope()
 	defer closer.Close()
-	hosts, err := loadHostTLS(s.TLSHosts)
+	tlsHosts, err := loadHostTLS(s.TLSHosts)
 	if err != nil {
 		return err
 	}
-	p, err := newProxy(s, hosts, o.Policy, log, scope)
+	p, err := newProxy(s, tlsHosts, o.Policy, log, scope)
 	if err != nil {
 		return err
 	}
@@ -76,14 +76,14 @@
 	if err != nil {
 		return err
 	}
-	hostListener, err := listen(o.Hosts, s.Hosts, hosts.server)
+	hostListener, err := listen(o.Hosts, s.Hosts, tlsHosts.server)
 	if err != nil {
 		return err
 	}
 	return p.run(ctx, callerListener, hostListener, metricsHandler)
 }
 
-func newProxy(s *settings.Proxy, hosts hostTLS, policy func() admission.Policy, log *slog.Logger, scope tally.Scope) (*proxy, error) {
+func newProxy(s *settings.Proxy, tlsHosts hostTLS, policy func() admission.Policy, log *slog.Logger, scope tally.Scope) (*proxy, error) {
 	callerTLS, err := tlsconf.Server(s.TLSCallers)
 	if err != nil {
 		return nil, err
@@ -100,10 +100,10 @@
 	if err != nil {
 		return nil, err
 	}
-	httpClient := tlsconf.HTTPClient(hosts.client)
-	control := scope.SubScope("control")
-	controlClient := tlsconf.MeteredHTTPClient(hosts.client, &tlsconf.Meter{
-		Sent: control.Counter("sent_bytes_total"), Received: control.Counter("received_bytes_total"),
+	httpClient := tlsconf.HTTPClient(tlsHosts.client)
+	controlScope := scope.SubScope("control")
+	controlClient := tlsconf.MeteredHTTPClient(tlsHosts.client, &tlsconf.Meter{
+		Sent: controlScope.Counter("sent_bytes_total"), Received: controlScope.Counter("received_bytes_total"),
 	})
 	p := &proxy{settings: s, log: logging.For(log, "daemon"), scope: scope}
 	p.agent = member.New(member.Options{
--- a/daemon/site_test.go
+++ b/daemon/site_test.go
@@ -161,8 +161,8 @@
 
 func (s *secureSite) addresses(from, to int) []string {
 	var addresses []string
-	for _, port := range s.hostListeners[from:to] {
-		addresses = append(addresses, port.Addr().String())
+	for _, listener := range s.hostListeners[from:to] {
+		addresses = append(addresses, listener.Addr().String())
 	}
 	return addresses
 }
--- a/daemon/tls_test.go
+++ b/daemon/tls_test.go
@@ -21,10 +21,10 @@
 	"lovageslip/tlsconf"
 )
 
-// TestSiteWithTLSOnEveryEdge guards against parts that send plaintext or cannot
-// reach their peers when TLS is on, and against hosts that accept peers without
-// a certificate.
-func TestSiteWithTLSOnEveryEdge(t *testing.T) {
+// TestSiteWithTLSOnEveryConnection guards against parts that send plaintext or
+// cannot reach their peers when TLS is on, and against hosts that accept peers
+// without a certificate.
+func TestSiteWithTLSOnEveryConnection(t *testing.T) {
 	s := startSecureSite(t)
 	t.Run("reads and writes through every proxy", s.testStatements)
 	t.Run("changes through every control host", s.testChanges)
@@ -73,10 +73,10 @@
 }
 
 func (s *secureSite) testNoPlaintext(t *testing.T) {
-	for _, port := range s.hostListeners {
-		encrypted, plain := port.connections()
-		assert.Assert(t, encrypted > 0, "no connection to %s", port.Addr())
-		assert.Equal(t, plain, 0, "plaintext to %s", port.Addr())
+	for _, listener := range s.hostListeners {
+		encrypted, plain := listener.connections()
+		assert.Assert(t, encrypted > 0, "no connection to %s", listener.Addr())
+		assert.Equal(t, plain, 0, "plaintext to %s", listener.Addr())
 	}
 }
 
--- a/tlsconf/tlsconf.go
+++ b/tlsconf/tlsconf.go
@@ -1,7 +1,7 @@
-// Package tlsconf builds TLS configurations and HTTP clients for the daemons from
-// the PEM files in their settings. On connections between hosts, both sides
-// present a certificate of the same authority, so that other peers are refused
-// in the handshake, before they can send a request.
+// Package tlsconf builds TLS configurations and HTTP clients for the daemons and
+// tools from the PEM files in their settings or flags. On connections between
+// hosts, both sides present a certificate of the same authority, so that other
+// peers are refused in the handshake, before they can send a request.
 package tlsconf
 
 import (
@@ -179,14 +179,15 @@
 	next *http.Transport
 }
 
-// CloseIdleConnections is called by http.Client.CloseIdleConnections.
+// CloseIdleConnections is called by http.Client.CloseIdleConnections, which would
+// otherwise have no effect on the connections of next.
 func (t *httpsTransport) CloseIdleConnections() { t.next.CloseIdleConnections() }
 
 func (t *httpsTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.URL.Scheme == "https" {
 		return t.next.RoundTrip(r)
 	}
-	secure := r.Clone(r.Context())
-	secure.URL.Scheme = "https"
-	return t.next.RoundTrip(secure)
+	httpsRequest := r.Clone(r.Context())
+	httpsRequest.URL.Scheme = "https"
+	return t.next.RoundTrip(httpsRequest)
 }
