--- a/upstream/pgupstream/answer.go
+++ b/upstream/pgupstream/answer.go
@@ -15,8 +15,7 @@
 	maxStatementsBytes = 1 << 20
 )
 
-// bufferPolicy says which part of an answer is kept from the sink until the server
-// has answered the whole batch.
+// bufferPolicy says which part of an answer is withheld from the sink, and how long.
 type bufferPolicy int
 
 const (
@@ -28,7 +27,8 @@
 	// to maxStatementsBytes, because a later statement may be refused as a
 	// write and the batch sent to another server.
 	bufferStatements
-	// bufferFromAck keeps everything from the first acknowledgement on.
+	// bufferFromAck keeps everything from the first acknowledgement on, until
+	// the server has answered the whole batch.
 	bufferFromAck
 	// bufferAll keeps everything, so that the ledger can store it. Above
 	// maxStoredBytes it works like bufferFromAck.
--- a/upstream/pgupstream/conn.go
+++ b/upstream/pgupstream/conn.go
@@ -230,8 +230,8 @@
 }
 
 // callFunction runs a statement that calls one of the server's lovageslip
-// functions, and returns the status that it answers. The connection is broken if
-// ctx ends before.
+// functions, and returns the status that it answers. If ctx ends before the answer
+// has arrived, the connection is broken.
 func (c *Conn) callFunction(ctx context.Context, sql string) (upstream.Status, error) {
 	if err := c.checkUsable(); err != nil {
 		return upstream.Status{}, err
@@ -277,9 +277,9 @@
 	return c.callFunction(ctx, functionCall("wait", uint64(p.Term), uint64(p.Offset), uint64(millis)))
 }
 
-// Fence makes the server promise to accept nothing below term.
-// Errors: as for Status; *fault.Database with code 55L01 if it has promised
-// more.
+// Fence makes the server refuse everything from terms below term.
+// Errors: as for Status; *fault.Database with code 55L01 if the server is fenced
+// at a higher term.
 func (c *Conn) Fence(ctx context.Context, term upstream.Term) (upstream.Status, error) {
 	return c.callFunction(ctx, functionCall("fence", uint64(term)))
 }
--- a/upstream/pgupstream/pgupstream_test.go
+++ b/upstream/pgupstream/pgupstream_test.go
@@ -194,8 +194,7 @@
 	}
 }
 
-// Guards against a transaction's state that is reported wrong after one of its
-// batches.
+// Guards against a wrong transaction state in the result of a batch.
 func TestTransaction(t *testing.T) {
 	server := startServer(t, standin.Options{})
 	conn, other := dialConn(t, server.Address()), dialConn(t, server.Address())
--- a/upstream/pgupstream/run.go
+++ b/upstream/pgupstream/run.go
@@ -16,8 +16,8 @@
 // cancelled at the server, and Run returns within cancelAnswerTimeout.
 //
 // With a request id that a committed batch has used, but whose answer isn't
-// stored, Run returns *fault.AlreadyCommitted together with a Result whose status
-// covers that commit.
+// stored, Run returns *fault.AlreadyCommitted together with a Result whose
+// StatusAfter covers that commit.
 func (c *Conn) Run(ctx context.Context, batch upstream.Batch, check upstream.StatusCheck, sink upstream.Sink) (upstream.Result, error) {
 	r, err := newRequest(batch, c.prepared)
 	if err != nil {
--- a/upstream/pgupstream/socket.go
+++ b/upstream/pgupstream/socket.go
@@ -21,7 +21,7 @@
 // socketUsable reports whether the server has neither closed the connection nor
 // sent an ErrorResponse, as it does before it closes one. If the batch is not sent
 // on a closed connection, it has certainly not run. Unread bytes on an encrypted
-// connection can't be told from such an error, so that it counts as closed.
+// connection can't be told from such an error, so the connection counts as closed.
 func socketUsable(raw syscall.RawConn, encrypted bool) bool {
 	if raw == nil {
 		return true
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -13,7 +13,8 @@
 // of primary.
 type Term uint64
 
-// Offset is an index into the log of one term, in log entries.
+// Offset is an index into a server's log, in log entries. It counts on from term to
+// term.
 type Offset uint64
 
 // Position identifies a point in the log history of a group. The zero value
@@ -65,8 +66,8 @@
 	Term Term
 	// Offset is the last entry that the server has applied and not discarded.
 	Offset Offset
-	// FencedTerm is the highest term that the server has promised to accept. It
-	// refuses everything from lower terms.
+	// FencedTerm is the lowest term that the server still accepts. It refuses
+	// everything from lower terms and never lowers FencedTerm.
 	FencedTerm Term
 	History    History
 	// DataAge bounds how old the server's data are, by its own monotonic
@@ -81,8 +82,8 @@
 func (s Status) Position() Position { return Position{Term: s.Term, Offset: s.Offset} }
 
 // Includes reports whether the server's log contains position p: p's term is
-// part of the server's history, p lies before the end of that term there, and
-// the server has applied it. A position of a replaced term that the server's
+// part of the server's history, p lies at or before the end of that term there,
+// and the server has applied it. A position of a replaced term that the server's
 // history does not have is never included.
 func (s Status) Includes(p Position) bool {
 	if p == (Position{}) {
@@ -153,8 +154,8 @@
 	// StatusAfter is the server's status after a write that left no transaction
 	// open. Its position is at or after that of the commit.
 	StatusAfter Status
-	// Committed is true if that status is set and the batch may have
-	// committed a write.
+	// Committed is true if StatusAfter is set and the batch may have committed
+	// a write.
 	Committed bool
 	// AnswerTail is the end of the answer to a committing write, from the first
 	// acknowledgement on. The adapter withholds it from the sink, because
