--- a/pgscram/client.go
+++ b/pgscram/client.go
@@ -41,8 +41,8 @@
 	return unprepared
 }
 
-// Login is the client side of one login. Its methods handle the messages of
-// RFC 5802 in the order client-first, client-final, server-final.
+// Login is the client side of one login. ClientFirst, ClientFinal and VerifyServer
+// are called in this order, one for each step of the exchange in RFC 5802.
 type Login struct {
 	conversation *scram.ClientConversation
 }
@@ -66,7 +66,8 @@
 	return []byte(first), nil
 }
 
-// ClientFinal returns the client-final-message, which answers the server's challenge.
+// ClientFinal returns the client-final-message, which answers the server's
+// challenge.
 // Errors: *ServerError.
 func (l *Login) ClientFinal(challenge []byte) ([]byte, error) {
 	if !iterationsAllowed(string(challenge)) {
--- a/pgscram/server.go
+++ b/pgscram/server.go
@@ -104,8 +104,8 @@
 	Receive() ([]byte, error)
 }
 
-// Verify runs the server side of one login. After success it is left to the
-// caller to send AuthenticationOk.
+// Verify runs the server side of one login, apart from the AuthenticationOk that
+// has to be sent after a success.
 // Errors: *AuthenticationFailed, or that of messages.
 func (v *Verifier) Verify(user string, messages Transport) error {
 	lookup := func(string) (scram.StoredCredentials, error) { return v.credentials(user), nil }
