--- a/caller/pgcaller/errors.go
+++ b/caller/pgcaller/errors.go
@@ -121,7 +121,7 @@
 	return errors.As(err, &target)
 }
 
-// sqlStateError is an error that knows its own SQLSTATE; only errors of this
+// sqlStateError is an error with a SQLSTATE of its own. Only errors of this
 // package implement it.
 type sqlStateError interface {
 	error
--- a/caller/pgcaller/fake_test.go
+++ b/caller/pgcaller/fake_test.go
@@ -127,7 +127,7 @@
 	out        []byte
 	statements map[string]string
 	portals    map[string]string
-	done       exchange.BatchResult
+	result     exchange.BatchResult
 }
 
 func (r *fakeRun) runAll() (exchange.BatchResult, error) {
@@ -144,8 +144,8 @@
 	if err := r.sink(r.out); err != nil {
 		return exchange.BatchResult{}, &sinkFailed{}
 	}
-	r.done.State = r.stream.state
-	return r.done, nil
+	r.result.State = r.stream.state
+	return r.result, nil
 }
 
 type sinkFailed struct{}
@@ -243,7 +243,7 @@
 	r.stream.owner.mu.Lock()
 	defer r.stream.owner.mu.Unlock()
 	r.stream.owner.committed++
-	r.done.Commit = upstream.Position{Term: 1, Offset: r.stream.owner.committed}
+	r.result.Commit = upstream.Position{Term: 1, Offset: r.stream.owner.committed}
 }
 
 // testHost is a running entry proxy in front of a fake owner.
--- a/caller/pgcaller/server.go
+++ b/caller/pgcaller/server.go
@@ -52,7 +52,7 @@
 	// ReadTimeout bounds the wait for the rest of a message after its first
 	// byte has arrived.
 	ReadTimeout time.Duration
-	// WriteTimeout bounds each write to a caller.
+	// WriteTimeout bounds each write to a caller, which may read slowly.
 	WriteTimeout time.Duration
 	// MaxCallers bounds the number of open connections.
 	MaxCallers int
--- a/caller/pgcaller/startup.go
+++ b/caller/pgcaller/startup.go
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// negotiateVersion offers version 3.0 to callers that ask for a later minor version
-// or for protocol options.
+// negotiateVersion offers version 3.0 to callers that ask for a later minor
+// version or for protocol options.
 func (c *conn) negotiateVersion(message *pgproto3.StartupMessage) error {
 	if message.ProtocolVersion>>16 != protocolMajorVersion {
 		return &protocolError{detail: "unsupported protocol version"}
