--- a/standin/extended.go
+++ b/standin/extended.go
@@ -44,8 +44,8 @@
 	return s.flushIfLarge()
 }
 
-// endQuery ends a Query message. It rolls back an implicit transaction that a
-// failed statement left open; runSimple has committed it if there was no error.
+// endQuery ends a Query message. It rolls back an implicit transaction that
+// runSimple has not committed because of an error.
 func (s *session) endQuery() {
 	if !s.tx.explicit {
 		s.rollback()
--- a/standin/fifo.go
+++ b/standin/fifo.go
@@ -64,7 +64,7 @@
 	defer f.mu.Unlock()
 	select {
 	case <-granted:
-		// The unit was granted just before ctx ended; the next waiter gets it.
+		// The unit was granted at the same moment; the next waiter gets it.
 		f.inUse--
 		f.grant()
 	default:
--- a/standin/link.go
+++ b/standin/link.go
@@ -26,11 +26,12 @@
 
 	// mu guards queue.
 	mu    sync.Mutex
-	queue []pulled
+	queue []queuedPull
 }
 
-// pulled is the reply to a pull, queued until the replication lag has passed.
-type pulled struct {
+// queuedPull is an answered pull that is queued until the replication lag has
+// passed.
+type queuedPull struct {
 	sentAt time.Time
 	// dueAt is when the replication lag has passed.
 	dueAt   time.Time
@@ -86,12 +87,12 @@
 		}
 		from += upstream.Offset(len(reply.Entries))
 		due := time.Now().Add(time.Duration(l.server.lag.Load()))
-		l.enqueue(pulled{sentAt: sentAt, dueAt: due, entries: reply.Entries, history: reply.History, more: reply.More})
+		l.enqueue(queuedPull{sentAt: sentAt, dueAt: due, entries: reply.Entries, history: reply.History, more: reply.More})
 	}
 	return ctx.Err()
 }
 
-func (l *link) enqueue(p pulled) {
+func (l *link) enqueue(p queuedPull) {
 	l.mu.Lock()
 	l.queue = append(l.queue, p)
 	l.mu.Unlock()
@@ -103,7 +104,7 @@
 
 // dequeueDue removes the pulls whose lag has passed from the queue. It also
 // returns how long to wait for the next one, or 0 if the queue is empty.
-func (l *link) dequeueDue(now time.Time) ([]pulled, time.Duration) {
+func (l *link) dequeueDue(now time.Time) ([]queuedPull, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -150,7 +151,7 @@
 
 // applyPulled applies the entries of pulls whose lag has passed. It fails with
 // *linkRefused if the link has been dropped or replaced since.
-func (s *Server) applyPulled(db *sqlite3.SQLiteConn, t target, ready []pulled) error {
+func (s *Server) applyPulled(db *sqlite3.SQLiteConn, t target, ready []queuedPull) error {
 	s.state.commit.Lock()
 	defer s.state.commit.Unlock()
 	if !s.state.isCurrentLink(t.linkNumber) {
--- a/standin/standin.go
+++ b/standin/standin.go
@@ -34,7 +34,7 @@
 // Options.ConnectDelay is zero.
 const DefaultConnectDelay = 12 * time.Millisecond
 
-// Options describes a server.
+// Options configures the server that Start runs.
 type Options struct {
 	Log     *slog.Logger
 	Metrics tally.Scope
--- a/standin/state.go
+++ b/standin/state.go
@@ -47,9 +47,8 @@
 	// linkNumber is incremented when a replication link must end. Entries that
 	// were pulled under an earlier number are not applied.
 	linkNumber uint64
-	// upToDateAt is the time at which the last pull was sent whose answer held
-	// all further entries of the primary and has been applied. Zero if there
-	// was none.
+	// upToDateAt is the send time of the last applied pull whose answer held
+	// all remaining entries of the primary. Zero if there was none.
 	upToDateAt time.Time
 	// lastContact is the time of the primary's last answer.
 	lastContact time.Time
@@ -235,7 +234,8 @@
 	return nil
 }
 
-// dropLink ends the link to the primary; replication then starts anew.
+// dropLink ends the link to the primary. A new one is opened, unless replication
+// is broken.
 func (s *state) dropLink() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
