--- a/consensus/storage.go
+++ b/consensus/storage.go
@@ -169,12 +169,12 @@
 
 func decodeSnapshot(data []byte) (*pb.SnapshotMeta, []byte, error) {
 	if len(data) < metaLengthSize {
-		return nil, nil, &UnusableLog{Detail: "snapshot too short"}
+		return nil, nil, &UnusableLog{Detail: fmt.Sprintf("the snapshot is too short for the length field of its metadata: %d of %d bytes found", len(data), metaLengthSize)}
 	}
 	length := uint64(binary.LittleEndian.Uint32(data))
 	rest := data[metaLengthSize:]
 	if uint64(len(rest)) < length {
-		return nil, nil, &UnusableLog{Detail: "snapshot too short"}
+		return nil, nil, &UnusableLog{Detail: fmt.Sprintf("the snapshot is too short for its metadata: %d of %d bytes found", len(rest), length)}
 	}
 	meta := &pb.SnapshotMeta{}
 	if err := decode(rest[:length], meta); err != nil {
--- a/wal/recover.go
+++ b/wal/recover.go
@@ -72,7 +72,7 @@
 		return 0, 0, l.damaged(syncedFileName, 0, "file is missing, but segments exist")
 	}
 	if len(content) != syncedFileSize || checksum(content[:16]) != binary.LittleEndian.Uint32(content[16:]) {
-		return 0, 0, l.damaged(syncedFileName, 0, "checksum")
+		return 0, 0, l.damaged(syncedFileName, 0, fmt.Sprintf("wrong length or checksum: the file has %d bytes, a valid one has %d", len(content), syncedFileSize))
 	}
 	return binary.LittleEndian.Uint64(content), int64(binary.LittleEndian.Uint64(content[8:])), nil
 }
@@ -103,7 +103,7 @@
 		}
 	}
 	if !r.hasSyncedSegment() {
-		return nil, nil, l.damaged(syncedFileName, 0, "the segment that the file names is missing")
+		return nil, nil, l.damaged(syncedFileName, 0, fmt.Sprintf("the segment that the file names is missing; it starts at sequence number %d", r.syncedSeq))
 	}
 	if err := l.openSyncedFile(); err != nil {
 		return nil, nil, err
@@ -130,7 +130,7 @@
 		return l.damaged(name, 0, "invalid segment file name")
 	}
 	if len(l.segments) > 0 && firstSeq != l.nextSeq {
-		return l.damaged(name, 0, "records are missing before this segment")
+		return l.damaged(name, 0, fmt.Sprintf("segment starts at sequence number %d, expected %d after the segment before it", firstSeq, l.nextSeq))
 	}
 	data, _, err := l.folder.Read(name)
 	if err != nil {
@@ -161,7 +161,7 @@
 			break
 		}
 		if outcome == parsedIncomplete {
-			detail = "incomplete record before the last segment"
+			detail = "incomplete record in a segment that is not the last one"
 		}
 		if outcome != parsedOK {
 			return l.damaged(name, offset, detail)
@@ -172,7 +172,7 @@
 		offset += size
 	}
 	if l.segments[len(l.segments)-1].firstSeq == r.syncedSeq && offset < r.syncedLength {
-		return l.damaged(name, offset, "incomplete record within the synced length")
+		return l.damaged(name, offset, fmt.Sprintf("incomplete record within the synced length of %d bytes", r.syncedLength))
 	}
 	r.lastData = data[:offset]
 	return nil
