--- a/failover/members.go
+++ b/failover/members.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"time"
 
 	"lovageslip/controlstate"
@@ -104,7 +105,7 @@
 	}
 	if facts.watermarkTerm == g.GetTerm() {
 		if n := countHolding(replies, g, facts.watermark); n < majority(g) {
-			return &MemberChangeDeferred{Database: g.GetDatabase(), Reason: "no majority has caught up"}
+			return &MemberChangeDeferred{Database: g.GetDatabase(), Reason: fmt.Sprintf("%d members have caught up with the primary, %d are needed for a majority", n, majority(g))}
 		}
 		s.updateFacts(facts.watch, func(f *groupFacts) { f.majorityCaughtUp = true })
 		s.log.Info("members settled", "database", g.GetDatabase(), "members", g.GetMembers())
@@ -141,7 +142,7 @@
 		return err
 	}
 	if countHolding(replies, g, facts.watermark) < majority(g) {
-		return &MemberChangeDeferred{Database: g.GetDatabase(), Reason: "no majority has caught up"}
+		return &MemberChangeDeferred{Database: g.GetDatabase(), Reason: fmt.Sprintf("fewer members have caught up with the primary than the %d that are a majority", majority(g))}
 	}
 	if !change.remove {
 		if err := s.checkCaughtUp(ctx, frame, g, facts, change.upstream); err != nil {
@@ -163,7 +164,7 @@
 		return err
 	}
 	if countHolding(replies, g, facts.watermark) == 0 {
-		return &MemberChangeDeferred{Database: g.GetDatabase(), Reason: name + " has not caught up"}
+		return &MemberChangeDeferred{Database: g.GetDatabase(), Reason: name + ", the new member, has not caught up with the primary"}
 	}
 	return nil
 }
--- a/failover/new.go
+++ b/failover/new.go
@@ -52,7 +52,7 @@
 }
 
 func (s *Supervisor) adopt(ctx context.Context, g *pb.Group, primary reply) error {
-	s.log.Info("primary adopted", "database", g.GetDatabase(), "primary", primary.name, "term", primary.status.Term)
+	s.log.Info("leader proposes to adopt the existing primary of a new group", "database", g.GetDatabase(), "primary", primary.name, "term", primary.status.Term)
 	return s.logStep(ctx, g, "adopt", &pb.Command{Command: &pb.Command_AdoptPrimary{AdoptPrimary: &pb.AdoptPrimary{
 		Database: g.GetDatabase(),
 		Term:     uint64(primary.status.Term),
--- a/failover/repair.go
+++ b/failover/repair.go
@@ -57,7 +57,7 @@
 		return s.changeAboveFence(ctx, g, higher)
 	}
 	for _, r := range replies {
-		s.log.Info("upstream ordered to follow the primary", "upstream", r.name, "term", g.GetTerm(), "primary", primary.GetName(), "err", r.err)
+		s.log.Info("leader sent an upstream the order to follow the primary", "upstream", r.name, "term", g.GetTerm(), "primary", primary.GetName(), "err", r.err)
 	}
 	return nil
 }
--- a/pgscram/server.go
+++ b/pgscram/server.go
@@ -68,7 +68,9 @@
 	User string
 }
 
-func (e *BadPassword) Error() string { return "the password of user " + e.User + " cannot be used" }
+func (e *BadPassword) Error() string {
+	return "the password of user " + e.User + " yields no SCRAM keys"
+}
 
 func randomBytes(n int) []byte {
 	b := make([]byte, n)
