--- a/control/balance.go
+++ b/control/balance.go
@@ -34,7 +34,7 @@
 		return
 	}
 	l.server.metrics.Counter("upstreams_moved_total").Inc(1)
-	l.server.log.Info("moving upstream to a better owner", "upstream", u.GetName(), "owner", u.GetOwner())
+	l.server.log.Info("leader moves an upstream to a better owner", "upstream", u.GetName(), "owner", u.GetOwner())
 	l.leases.stop(u)
 }
 
--- a/control/leader.go
+++ b/control/leader.go
@@ -110,7 +110,7 @@
 	cmd := &pb.Command{LeaderTerm: term, Command: &pb.Command_LeaderStarted{LeaderStarted: &pb.LeaderStarted{}}}
 	result, err := s.propose(ctx, cmd)
 	if err != nil || !result.GetApplied() || s.state.LeaderTerm() != term || !s.leads(term) {
-		s.log.Warn("start of the control leader's term not logged", "term", term, "err", err)
+		s.log.Warn("this host could not start its term as control leader", "term", term, "err", err)
 		return nil
 	}
 	l := s.newLeadership(parent, term)
@@ -118,7 +118,7 @@
 	s.leadership = l
 	s.mu.Unlock()
 	s.metrics.Counter("leaderships_total").Inc(1)
-	s.log.Info("host became control leader", "term", term)
+	s.log.Info("this host became control leader", "term", term)
 	return l
 }
 
@@ -160,7 +160,7 @@
 	if l.supervisor != nil {
 		l.supervisor.Wait()
 	}
-	s.log.Info("host is no longer control leader", "term", l.term)
+	s.log.Info("this host is no longer control leader", "term", l.term)
 }
 
 // leads reports whether this host leads in the given term now.
--- a/daemon/proxy.go
+++ b/daemon/proxy.go
@@ -225,7 +225,7 @@
 	drains.Go(func() { callersErr = p.callers.Shutdown(ctx) })
 	drains.Go(func() {
 		if err := p.agent.Release(ctx); err != nil {
-			p.log.Warn("upstreams were not handed over", "error", err)
+			p.log.Warn("no control host confirmed the release of this host's leases; its upstreams get new owners when the leases expire", "error", err)
 		}
 		ownerErr = p.owner.Drain(ctx)
 		p.exchanges.Drain()
--- a/member/lease.go
+++ b/member/lease.go
@@ -21,7 +21,7 @@
 	for host := a.randomHost(); ctx.Err() == nil; {
 		if err := a.sendHeartbeat(ctx, host, nil); err != nil {
 			a.metrics.Counter("heartbeats_failed_total").Inc(1)
-			a.log.Debug("heartbeat failed", "err", err)
+			a.log.Debug("heartbeat to a control host failed", "err", err)
 			host++
 			failures++
 			a.backOff(ctx, failures)
@@ -205,7 +205,7 @@
 	for i := 0; ; i++ {
 		err := a.sendHeartbeat(ctx, first+i, released)
 		if err == nil {
-			a.log.Info("upstreams handed over", "count", len(released))
+			a.log.Info("this host released the leases of its upstreams", "count", len(released))
 			return nil
 		}
 		if ctx.Err() != nil {
--- a/member/watch.go
+++ b/member/watch.go
@@ -48,7 +48,7 @@
 			return
 		}
 		a.metrics.Counter("watch_changes_total").Inc(1)
-		a.log.Info("watch stream ended, changing control host", "err", err)
+		a.log.Info("watch stream from a control host ended; the next one goes to another control host", "err", err)
 		failures++
 		if time.Since(opened) > a.timing.StreamTimeout {
 			failures = 1
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -122,7 +122,7 @@
 		up, registered := view.Upstreams[name]
 		if !registered || up.Owner != o.opts.Host || up.Address != u.address || up.Database != u.database {
 			delete(o.upstreams, name)
-			o.log.Info("released an upstream whose owner or registration changed", "upstream", name)
+			o.log.Info("this host released an upstream whose owner or registration changed", "upstream", name)
 			go u.retire()
 		}
 	}
@@ -138,7 +138,7 @@
 	if u == nil {
 		u = newOwnedUpstream(o, up)
 		o.upstreams[name] = u
-		o.log.Info("took ownership of an upstream", "upstream", name, "address", up.Address)
+		o.log.Info("this host took ownership of an upstream", "upstream", name, "address", up.Address)
 	}
 	u.update(up, view)
 }
--- a/proxy/transaction.go
+++ b/proxy/transaction.go
@@ -197,7 +197,7 @@
 	s.tx.conn = nil
 	c.pool.discard(c, sentAt)
 	s.state = StateFailed
-	s.proxy.log.Warn("lost the upstream connection of a transaction", "request", stmt.statement.ID, "database", s.database,
+	s.proxy.log.Warn("transaction failed because its upstream connection was lost", "request", stmt.statement.ID, "database", s.database,
 		"upstream", c.pool.id(), "error", err)
 	return final(aborted(reasonConnectionLost))
 }
--- a/sitecontrol/lead.go
+++ b/sitecontrol/lead.go
@@ -104,6 +104,6 @@
 		}
 		command := &pb.RecordProxies{Proxies: count}
 		_, err := s.propose(ctx, &pb.SiteCommand{Command: &pb.SiteCommand_RecordProxies{RecordProxies: command}})
-		s.log.Info("count of proxies recorded", "proxies", count, "error", err)
+		s.log.Info("leader proposed to record the number of proxies", "proxies", count, "error", err)
 	}
 }
--- a/sitecontrol/primary.go
+++ b/sitecontrol/primary.go
@@ -138,7 +138,7 @@
 func (w *groupWatch) record(ctx context.Context, u *pb.SiteUpstream, reason string) bool {
 	command := &pb.RecordPrimary{Group: w.group, Upstream: u.Id}
 	_, err := w.server.propose(ctx, &pb.SiteCommand{Command: &pb.SiteCommand_RecordPrimary{RecordPrimary: command}})
-	w.server.log.Info("primary recorded", "group", w.group, "upstream", u.Id, "reason", reason, "error", err)
+	w.server.log.Info("leader proposed to record an upstream as the primary of its group", "group", w.group, "upstream", u.Id, "reason", reason, "error", err)
 	w.unavailableSince, w.cutOffSince = time.Time{}, time.Time{}
 	return err == nil
 }
@@ -298,12 +298,12 @@
 	}
 	best := mostAdvanced(w.probeAll(ctx, others))
 	if best == nil {
-		w.server.log.Warn("no replica can take over", "group", w.group, "reason", reason)
+		w.server.log.Warn("no replica answers that could take over as the primary", "group", w.group, "reason", reason)
 		return
 	}
 	command := &pb.OrderPrimary{Group: w.group, Upstream: best.upstream.Id, PreviousOrder: g.GetOrder()}
 	result, err := w.server.propose(ctx, &pb.SiteCommand{Command: &pb.SiteCommand_OrderPrimary{OrderPrimary: command}})
-	w.server.log.Info("change of primary ordered", "group", w.group, "from", primary.GetId(), "to", best.upstream.Id,
+	w.server.log.Info("leader proposed an order to change the primary", "group", w.group, "from", primary.GetId(), "to", best.upstream.Id,
 		"reason", reason, "position", best.status.Received, "token", result.GetIndex(), "error", err)
 	if err != nil || !result.Changed {
 		return
@@ -323,7 +323,7 @@
 	defer cancel()
 	before, err := w.server.options.Prober.Status(ctx, primary)
 	if err != nil || before.Role != upstream.RolePrimary {
-		w.server.log.Info("primary is not asked to step down", "group", w.group, "upstream", primary.Id, "error", err)
+		w.server.log.Info("primary is not asked to step down: its status cannot be read or is not that of a primary", "group", w.group, "upstream", primary.Id, "error", err)
 		return
 	}
 	after, err := w.server.options.Prober.StepDown(ctx, primary, before.Received.Term+1)
@@ -334,11 +334,11 @@
 	for {
 		status, err := w.server.options.Prober.Status(ctx, successor)
 		if err == nil && !status.Received.Before(after.Received) {
-			w.server.log.Info("successor holds all commits", "group", w.group, "upstream", successor.Id, "position", status.Received)
+			w.server.log.Info("successor holds all commits of the primary that stepped down", "group", w.group, "upstream", successor.Id, "position", status.Received)
 			return
 		}
 		if !pause.For(ctx, catchUpInterval) {
-			w.server.log.Warn("successor lacks commits", "group", w.group, "upstream", successor.Id,
+			w.server.log.Warn("successor does not hold all commits of the primary that stepped down", "group", w.group, "upstream", successor.Id,
 				"wanted", after.Received, "position", status.Received, "error", err)
 			return
 		}
--- a/sitecontrol/server.go
+++ b/sitecontrol/server.go
@@ -186,7 +186,7 @@
 func (s *Server) StoreConfig(ctx context.Context, config *pb.SiteConfig, document []byte) error {
 	state, _, _ := s.options.State.Current()
 	if state.Config != nil && config.Version <= state.Config.Version {
-		s.log.Info("configuration is not newer than the stored one", "version", config.Version, "stored", state.Config.Version)
+		s.log.Info("configuration changes nothing because it is not newer than the stored one", "version", config.Version, "stored", state.Config.Version)
 		return nil
 	}
 	packed, err := compressDocument(document)
@@ -196,7 +196,7 @@
 	command := &pb.StoreConfig{Config: config, Document: packed}
 	result, err := s.propose(ctx, &pb.SiteCommand{Command: &pb.SiteCommand_StoreConfig{StoreConfig: command}})
 	if err != nil {
-		s.log.Warn("configuration not stored", "version", config.Version, "error", err)
+		s.log.Warn("storing a configuration failed", "version", config.Version, "error", err)
 		return err
 	}
 	s.log.Info("configuration acknowledged", "version", config.Version, "index", result.Index, "changed", result.Changed)
@@ -208,7 +208,7 @@
 // consensus.Log.ReadIndex, and *fault.IO.
 func (s *Server) Document(ctx context.Context) ([]byte, error) {
 	if _, err := s.options.Consensus.ReadIndex(ctx); err != nil {
-		s.log.Warn("configuration not read", "error", err)
+		s.log.Warn("reading the configuration failed", "error", err)
 		return nil, err
 	}
 	state, _, _ := s.options.State.Current()
--- a/standin/replicate.go
+++ b/standin/replicate.go
@@ -230,7 +230,7 @@
 		return &linkRefused{detail: "the link was dropped or replaced before its log was aligned"}
 	}
 	if reply.Keep < t.offset {
-		s.log.Info("discarding entries that the primary's log does not have", "kept", reply.Keep, "had", t.offset)
+		s.log.Info("replica discards entries that the primary's log does not have", "kept", reply.Keep, "had", t.offset)
 		if err := s.store.rebuild(s.state.log[:reply.Keep]); err != nil {
 			return err
 		}
--- a/standin/server.go
+++ b/standin/server.go
@@ -162,7 +162,7 @@
 	}
 	defer s.unregister(sess)
 	if err := sess.serve(); err != nil {
-		s.log.Debug("session ended", "pid", sess.pid, "error", err)
+		s.log.Debug("client's session ended with an error", "pid", sess.pid, "error", err)
 	}
 }
 
--- a/upstream/pgupstream/cancel.go
+++ b/upstream/pgupstream/cancel.go
@@ -109,7 +109,7 @@
 		defer close(finished)
 		_ = c.socket.SetDeadline(time.Now().Add(cancelAnswerTimeout))
 		if err := c.cancel(context.Background(), sequence); err != nil {
-			c.dialer.log.Debug("cancel request failed", "error", err)
+			c.dialer.log.Debug("cancel request to an upstream failed", "error", err)
 		}
 	})
 	return func() {
