--- a/integration/capacity_test.go
+++ b/integration/capacity_test.go
@@ -101,8 +101,9 @@
 	p.t.Helper()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	assert.NilError(p.t, err)
-	// fields begins after the command name, the second field of the line. In
-	// the line, utime and stime are fields 14 and 15, resident pages field 24.
+	// The command name, the second field of the line, may contain spaces, so
+	// fields begins with the third. Of the line, utime and stime are fields 14
+	// and 15, and the resident pages are field 24.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	user, system, pages := parseNumber(fields[11]), parseNumber(fields[12]), parseNumber(fields[21])
 	return usage{cpu: time.Duration(user+system) * clockTick, memory: pages * float64(os.Getpagesize())}
--- a/integration/control_test.go
+++ b/integration/control_test.go
@@ -98,7 +98,7 @@
 	return version, answer
 }
 
-// classVersion returns the present version of the classes.
+// classVersion returns the version of the classes by a quorum read.
 func (s *site) classVersion() uint64 {
 	s.t.Helper()
 	var version uint64
@@ -210,6 +210,6 @@
 	}
 	slices.Sort(times)
 	n := len(times)
-	s.t.Logf("time from acceptance of a change until all proxies applied it: p50 %s, p90 %s, p99 %s, max %s", times[n/2], times[n*9/10], times[n*99/100], times[n-1])
+	s.t.Logf("time until all proxies applied an accepted change: p50 %s, p90 %s, p99 %s, max %s", times[n/2], times[n*9/10], times[n*99/100], times[n-1])
 	assert.Assert(s.t, times[n-1] < configDelayLimit)
 }
--- a/integration/failover_test.go
+++ b/integration/failover_test.go
@@ -66,7 +66,8 @@
 		s.awaitMoreAcks(r, 5)
 	}
 	// The control leader can rely on the replicas alone to hold all acknowledged
-	// writes only after the members were the same for one lease.
+	// writes only after the group's members have not changed for one lease and a
+	// majority has then caught up.
 	s.awaitControlLog("members settled")
 	name, _ := s.primary()
 	// Replicas lose their connections to the old primary; callers and owners
--- a/integration/leaving_test.go
+++ b/integration/leaving_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// leaveLimit is the stated time for which an upstream may still get new work
-// after it has announced that it leaves.
+// leaveLimit is how long an upstream that has announced that it leaves may still
+// get new work. It is the 3 s of promise P7 in docs/design.md.
 const leaveLimit = 3 * time.Second
 
 // Guards against an upstream that still gets work after it has announced that it
--- a/integration/path_test.go
+++ b/integration/path_test.go
@@ -10,8 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against faults that tests within one process can't show: a write through
-// one proxy is read through another one with the session token.
+// Guards against a request path that works only within one process: a write
+// through one proxy must be found by a read through another one with the session
+// token.
 func TestWriteIsReadThroughAnotherProxy(t *testing.T) {
 	s := startSite(t, siteOptions{controls: 3, proxies: 2})
 	ctx := context.Background()
--- a/integration/relay_test.go
+++ b/integration/relay_test.go
@@ -13,8 +13,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// relay forwards connections to an address. A toxic affects all connections of a
-// link; a relay can stop delivery on those that are open while new ones work.
+// relay forwards connections to an address. A toxic, a fault that toxiproxy
+// injects, affects all connections of a link; a relay can stop delivery on those
+// that are open while new ones work.
 type relay struct {
 	to       string
 	listener net.Listener
@@ -23,7 +24,8 @@
 	conns []*relayedConn
 }
 
-// relayedConn is one connection through a relay, as the pair of its two sides.
+// relayedConn is one connection through a relay: the client's side and the
+// server's.
 type relayedConn struct {
 	client, server net.Conn
 	silent         atomic.Bool
@@ -102,8 +104,7 @@
 	}
 }
 
-// addToxic adds a fault of the fault-injecting proxy to a link and returns a
-// function that removes it.
+// addToxic adds a toxic to a link and returns a function that removes it.
 func (l *link) addToxic(t testing.TB, kind, stream string, attributes map[string]any) (remove func()) {
 	t.Helper()
 	name := kind + "_" + stream
--- a/integration/resend_test.go
+++ b/integration/resend_test.go
@@ -98,7 +98,7 @@
 }
 
 // insertAndLoseAnswer inserts an entry through a link that delivers the
-// request but no answer, and that is cut after a time.
+// request but no answer, and that is cut after the given time.
 func (s *site) insertAndLoseAnswer(request string, after time.Duration) {
 	s.t.Helper()
 	name := "caller of " + request
--- a/integration/shutdown_test.go
+++ b/integration/shutdown_test.go
@@ -107,7 +107,8 @@
 	})
 	assert.NilError(t, run(ctx, conn, "SELECT 1"))
 	signalled := time.Now()
-	// Half of the shutdown deadline of 20 s in the settings.
+	// The limit of 10 s is shorter than the shutdown deadline of 20 s in the
+	// settings.
 	assert.Equal(t, p.terminate(10*time.Second), secondSignalExitCode, "exit code")
 	t.Logf("ended %s after the second signal", time.Since(signalled))
 }
--- a/integration/silent_test.go
+++ b/integration/silent_test.go
@@ -65,7 +65,7 @@
 	}
 	// The write may have been sent on a new connection; otherwise it was not
 	// run or its outcome is unknown.
-	assert.Check(s.t, err == nil || sqlState(err) == unknownCode || sqlState(err) == notRunCode, "write: %v", err)
+	assert.Check(s.t, err == nil || sqlState(err) == outcomeUnknownCode || sqlState(err) == notRunCode, "write: %v", err)
 	if sqlState(err) == notRunCode {
 		assert.Equal(s.t, s.entryCounts(entry)[note], 0, "a write that was reported as not run is in the table")
 	}
--- a/integration/site_test.go
+++ b/integration/site_test.go
@@ -40,8 +40,8 @@
 	// dataCentres are the data centres that hosts and upstreams are spread over.
 	dataCentres []string
 	classes     []class.Class
-	// relays puts a relay in front of each link, whose connections a test can
-	// silence.
+	// relays puts a relay in front of each link, so that a test can silence the
+	// link's open connections.
 	relays bool
 }
 
@@ -130,19 +130,19 @@
 // outgoing connections, from which a free port may be taken before it is used.
 const (
 	firstPort = 10000
-	ports     = 20000
+	portCount = 20000
 )
 
 var nextPort atomic.Uint32
 
-func init() { nextPort.Store(rand.Uint32N(ports)) }
+func init() { nextPort.Store(rand.Uint32N(portCount)) }
 
 // freeAddress returns a loopback address that no process listened on when it was
 // tried.
 func (s *site) freeAddress() string {
 	s.t.Helper()
-	for range ports {
-		address := fmt.Sprintf("127.0.0.1:%d", firstPort+nextPort.Add(1)%ports)
+	for range portCount {
+		address := fmt.Sprintf("127.0.0.1:%d", firstPort+nextPort.Add(1)%portCount)
 		l, err := net.Listen("tcp", address)
 		if err != nil {
 			continue
--- a/integration/throughput_test.go
+++ b/integration/throughput_test.go
@@ -72,17 +72,17 @@
 	return owner
 }
 
-// latencies holds the latencies of reads, in nanoseconds, and the time that the
-// reads took together.
+// latencies holds the latencies of reads, in nanoseconds. elapsed is the time until
+// all callers had finished; only readConcurrently sets it.
 type latencies struct {
 	histogram *hdrhistogram.Histogram
 	elapsed   time.Duration
 }
 
-func (r latencies) rate() float64 { return float64(r.histogram.TotalCount()) / r.elapsed.Seconds() }
+func (l latencies) rate() float64 { return float64(l.histogram.TotalCount()) / l.elapsed.Seconds() }
 
-func (r latencies) quantileMicros(quantile float64) float64 {
-	return float64(r.histogram.ValueAtQuantile(quantile)) / float64(time.Microsecond)
+func (l latencies) quantileMicros(quantile float64) float64 {
+	return float64(l.histogram.ValueAtQuantile(quantile)) / float64(time.Microsecond)
 }
 
 func newLatencies() latencies {
@@ -120,19 +120,19 @@
 // readUntil sends reads on one connection until the given time.
 func readUntil(b *testing.B, url string, until time.Time) latencies {
 	ctx := context.Background()
-	r := newLatencies()
+	l := newLatencies()
 	conn, err := pgx.Connect(ctx, url)
 	if !assert.Check(b, err) {
-		return r
+		return l
 	}
 	defer conn.Close(ctx)
 	for time.Now().Before(until) {
 		sent := time.Now()
 		var n int
 		if !assert.Check(b, conn.QueryRow(ctx, "SELECT count(*) FROM entries").Scan(&n)) {
-			return r
+			return l
 		}
-		_ = r.histogram.RecordValue(int64(time.Since(sent)))
+		_ = l.histogram.RecordValue(int64(time.Since(sent)))
 	}
-	return r
+	return l
 }
--- a/integration/token_test.go
+++ b/integration/token_test.go
@@ -42,7 +42,8 @@
 	s := startSite(t, siteOptions{controls: 1, proxies: 3, dataCentres: []string{"luzon", "visayas", "mindanao"}})
 	// Only the replica in the reading proxy's data centre lags. The other one
 	// confirms commits at once, so that the reads below begin before the lag has
-	// passed; 30 ms of latency keep the proxy from reading there without need.
+	// passed. The latency of 30 ms on the link to proxy-3 keeps the reading proxy
+	// from using that other replica without need.
 	s.upstreams["diary-2"].SetLag(2 * time.Second)
 	s.links["proxy-3"].addToxic(t, "latency", "downstream", map[string]any{"latency": 30})
 	ctx := context.Background()
@@ -54,7 +55,7 @@
 		token := s.insertForToken(writer, note)
 		insertedAt[note] = time.Now()
 		// The read without a token comes first, because the router avoids the
-		// lagging replica after it has refused a read with a token.
+		// lagging replica once that has refused a read with a token.
 		n, err := countNote(ctx, withoutToken, note)
 		assert.NilError(t, err)
 		staleReads += 1 - n
--- a/integration/writer_test.go
+++ b/integration/writer_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	notRunCode  = "57L01"
-	unknownCode = "40003"
+	notRunCode         = "57L01"
+	outcomeUnknownCode = "40003"
 )
 
 // sqlState returns the SQLSTATE of an error, empty for a broken connection.
@@ -27,7 +27,8 @@
 	return ""
 }
 
-// record holds the answers that one caller got to its statements, by entry id.
+// record holds the answers that one caller got to its statements, by the id of the
+// entry or, for a reader, by the number of the read.
 type record struct {
 	mu      sync.Mutex // guards all fields
 	acked   map[int]bool
