--- a/loadgen/report.go
+++ b/loadgen/report.go
@@ -85,10 +85,10 @@
 // characters, others proportionally fewer.
 func (s Second) bar(mostSent int64) string {
 	scale := func(n int64) int { return int((n*barWidth + mostSent - 1) / mostSent) }
-	inside := scale(s.WithinTarget)
-	ok := max(scale(s.OK), inside)
+	withinTarget := scale(s.WithinTarget)
+	ok := max(scale(s.OK), withinTarget)
 	sent := max(scale(s.Sent), ok)
-	return strings.Repeat("#", inside) + strings.Repeat("+", ok-inside) + strings.Repeat(".", sent-ok)
+	return strings.Repeat("#", withinTarget) + strings.Repeat("+", ok-withinTarget) + strings.Repeat(".", sent-ok)
 }
 
 // formatDuration formats a duration in seconds or milliseconds with about three
--- a/loadgen/result.go
+++ b/loadgen/result.go
@@ -38,8 +38,8 @@
 	// WithinTarget counts the successful requests whose latency was at most
 	// the Wait plus the Service of their work.
 	WithinTarget int64
-	// WithinTargetShare is the fraction of the scheduled requests that WithinTarget
-	// counts, 0 to 1 (column "inside" of the table).
+	// WithinTargetShare is the fraction of the scheduled requests that
+	// WithinTarget counts, 0 to 1 (column "inside" of the table).
 	WithinTargetShare float64
 	// Latency is that of successful requests, counted from their scheduled
 	// start.
