--- a/admission/shortest.go
+++ b/admission/shortest.go
@@ -36,15 +36,15 @@
 	// request may be preempted while short requests still have a slot. Later,
 	// the work lost by stopping it is more than the gain.
 	preemptAgeFactor = 3
-	// standingAfter is how long requests must have waited without a break
+	// standingQueueAfter is how long requests must have waited without a break
 	// for the queue to be a standing queue, caused by overload, instead of a
 	// burst. A standing queue delays every request and gains nothing, so the
-	// predicted wait is then limited to standingShare of the class's wait, and
-	// to no less than minStanding. Waits are thus normal soon after the
-	// overload ends.
-	standingAfter = 500 * time.Millisecond
-	standingShare = 1.0 / 8
-	minStanding   = 250 * time.Millisecond
+	// predicted wait is then limited to standingQueueShare of the class's wait,
+	// and to no less than minStandingQueueWait. Waits are thus normal soon after
+	// the overload ends.
+	standingQueueAfter   = 500 * time.Millisecond
+	standingQueueShare   = 1.0 / 8
+	minStandingQueueWait = 250 * time.Millisecond
 )
 
 // ShortestJobFirst is the policy of queues that serve callers. It starts
@@ -297,11 +297,11 @@
 
 func (p *ShortestJobFirst) limit(w *waiter, now time.Time) time.Duration {
 	limit := w.deadline.Sub(now)
-	if len(p.buckets) == 0 || now.Sub(p.busySince) < standingAfter {
+	if len(p.buckets) == 0 || now.Sub(p.busySince) < standingQueueAfter {
 		return limit
 	}
 	total := float64(w.Waited + w.WaitRemaining)
-	return min(limit, max(minStanding, time.Duration(standingShare*total)))
+	return min(limit, max(minStandingQueueWait, time.Duration(standingQueueShare*total)))
 }
 
 // toDuration converts seconds to a duration. Values that are too large, such as
--- a/consensus/append.go
+++ b/consensus/append.go
@@ -31,8 +31,8 @@
 func (n *Node) handleAppendLocked(r *pb.AppendEntriesRequest) (*pb.AppendEntriesResponse, *diskOp) {
 	response := &pb.AppendEntriesResponse{Term: n.term, Incarnation: n.incarnation}
 	if r.Term < n.term || r.Leader == n.options.Name {
-		// A request in this host's own name arrives if it is told to add a
-		// member at its own address and probes that address.
+		// A request that names this host as the leader is its own: it was
+		// told to add a member at its own address, and probes that address.
 		return response, nil
 	}
 	n.recordLeaderContactLocked(r.Term, r.Leader)
--- a/consensus/formation_test.go
+++ b/consensus/formation_test.go
@@ -8,9 +8,9 @@
 	pb "lovageslip/gen/lovageslip/v1"
 )
 
-// Guards against a host that crashed while it installed a snapshot and then, on
-// recovery, takes log entries that don't continue the snapshot for ones that do.
-// In the cases, kept is how many entries must remain after the snapshot.
+// Guards against a recovery that keeps log entries which don't continue the
+// snapshot, after a crash while the host installed that snapshot. In the cases,
+// kept is how many entries must remain after the snapshot.
 func TestRecoveryJoinsLogAndSnapshot(t *testing.T) {
 	for _, test := range []struct {
 		snapshot, snapshotTerm, first, last uint64
--- a/control/assign.go
+++ b/control/assign.go
@@ -54,7 +54,7 @@
 	if u.GetOwnerEpoch() == 0 && now.Before(l.startedAt.Add(l.server.timing.FirstAssignDelay)) {
 		return false
 	}
-	return l.leases.free(u, now)
+	return l.leases.isFree(u, now)
 }
 
 func (l *leadership) assign(a assignment) {
--- a/control/leases.go
+++ b/control/leases.go
@@ -83,15 +83,15 @@
 	t.entries[u.GetName()] = lease{epoch: u.GetOwnerEpoch(), released: true}
 }
 
-// free reports whether u may get a new owner.
-func (t *leaseTable) free(u *pb.Upstream, now time.Time) bool {
+// isFree reports whether u may get a new owner.
+func (t *leaseTable) isFree(u *pb.Upstream, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.freeLocked(u, now)
+	return t.isFreeLocked(u, now)
 }
 
-// freeLocked is free for callers that hold t.mu.
-func (t *leaseTable) freeLocked(u *pb.Upstream, now time.Time) bool {
+// isFreeLocked is isFree for callers that hold t.mu.
+func (t *leaseTable) isFreeLocked(u *pb.Upstream, now time.Time) bool {
 	if u.GetOwnerEpoch() == 0 {
 		return true
 	}
@@ -115,7 +115,7 @@
 func (t *leaseTable) reserve(u *pb.Upstream, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.freeLocked(u, now) {
+	if !t.isFreeLocked(u, now) {
 		return false
 	}
 	t.entries[u.GetName()] = lease{epoch: u.GetOwnerEpoch() + 1, until: now.Add(t.expiry)}
--- a/daemon/dev.go
+++ b/daemon/dev.go
@@ -40,15 +40,15 @@
 }
 
 const (
-	devDataCentre     = "dev"
-	devUpstreams      = 3
-	devSlots          = 5
-	devConnections    = 70
-	devShutdown       = 10 * time.Second
-	devSetupTimeout   = 30 * time.Second
-	devSetupInterval  = 50 * time.Millisecond
-	devTokenKeyBytes  = 32
-	devChangeIDPrefix = "dev-"
+	devDataCentre       = "dev"
+	devUpstreams        = 3
+	devSlots            = 5
+	devMaxConnections   = 70
+	devShutdownDeadline = 10 * time.Second
+	devSetupTimeout     = 30 * time.Second
+	devSetupInterval    = 50 * time.Millisecond
+	devTokenKeyBytes    = 32
+	devChangeIDPrefix   = "dev-"
 )
 
 // DevClasses are the classes that the development set-up defines.
@@ -80,7 +80,7 @@
 	}
 	proxy := &settings.Proxy{
 		Name: "proxy", DataCentre: devDataCentre, Callers: o.Callers, Hosts: o.Hosts, Advertise: o.Hosts,
-		Metrics: o.Metrics, Control: []string{o.Control}, TokenKeys: devKeys(), ShutdownDeadline: devShutdown,
+		Metrics: o.Metrics, Control: []string{o.Control}, TokenKeys: devKeys(), ShutdownDeadline: devShutdownDeadline,
 	}
 	// The control host continues after ctx has ended until the proxy has shut
 	// down, because the proxy's shutdown needs it.
@@ -115,7 +115,7 @@
 			DataCentre:     devDataCentre,
 			Lag:            o.Lag,
 			Slots:          devSlots,
-			MaxConnections: devConnections,
+			MaxConnections: devMaxConnections,
 			AnnounceTo:     []string{"http://" + o.Hosts, "http://" + o.Control},
 		}
 		if i > 0 {
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -120,7 +120,7 @@
 	assert.Assert(t, errors.As(err, &unknown), "%v", err)
 }
 
-// Guards against an answer from an idle stream whose owner has gone.
+// Guards against an answer from an idle stream whose owner has stopped.
 func TestIdleStreamOfStoppedOwnerGivesNoAnswer(t *testing.T) {
 	o := &fakeOwner{run: echo}
 	s := startServer(t, o)
--- a/failover/calls.go
+++ b/failover/calls.go
@@ -12,14 +12,14 @@
 // call is a request to one upstream, made on a new connection.
 type call func(ctx context.Context, conn upstream.Conn) (upstream.Status, error)
 
-// reply is the outcome of a call to one upstream. fenced is the highest term that
-// the upstream is bound to. After an error it comes from a status call that
+// reply is the outcome of a call to one upstream. boundTerm is the highest term
+// that the upstream is bound to. After an error it comes from a status call that
 // followed, and is zero if that failed, too.
 type reply struct {
-	name   string
-	status upstream.Status
-	fenced upstream.Term
-	err    error
+	name      string
+	status    upstream.Status
+	boundTerm upstream.Term
+	err       error
 }
 
 // ask calls upstreams in parallel and returns their replies. It returns when all
@@ -76,7 +76,7 @@
 	defer conn.Close()
 	status, err := do(ctx, conn)
 	if err == nil {
-		return reply{name: u.GetName(), status: status, fenced: boundTerm(status)}
+		return reply{name: u.GetName(), status: status, boundTerm: boundTerm(status)}
 	}
 	// The error does not say at which term the upstream is fenced, so its
 	// status is read on the same connection.
@@ -84,7 +84,7 @@
 	if statusErr != nil {
 		return reply{name: u.GetName(), err: err}
 	}
-	return reply{name: u.GetName(), status: after, fenced: boundTerm(after), err: err}
+	return reply{name: u.GetName(), status: after, boundTerm: boundTerm(after), err: err}
 }
 
 // boundTerm returns the highest term that an upstream is bound to: it refuses
@@ -126,10 +126,10 @@
 	}
 }
 
-func highestFence(replies []reply) upstream.Term {
+func highestBoundTerm(replies []reply) upstream.Term {
 	var highest upstream.Term
 	for _, r := range replies {
-		highest = max(highest, r.fenced)
+		highest = max(highest, r.boundTerm)
 	}
 	return highest
 }
--- a/failover/change.go
+++ b/failover/change.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	if higher := highestFence(replies); higher > term {
+	if higher := highestBoundTerm(replies); higher > term {
 		return s.logStart(ctx, g, higher+1, "fenced_higher")
 	}
 	fenced := succeeded(replies)
@@ -189,8 +189,8 @@
 	if err != nil {
 		return err
 	}
-	if r := replies[0]; r.err != nil && r.fenced > term {
-		return &CallRefused{Upstream: r.name, Call: "become primary", Fenced: uint64(r.fenced)}
+	if r := replies[0]; r.err != nil && r.boundTerm > term {
+		return &CallRefused{Upstream: r.name, Call: "become primary", Fenced: uint64(r.boundTerm)}
 	}
 	return replies[0].err
 }
--- a/failover/detect.go
+++ b/failover/detect.go
@@ -112,5 +112,5 @@
 }
 
 func nextTerm(g *pb.Group, replies []reply) upstream.Term {
-	return max(upstream.Term(g.GetTerm()), highestFence(replies)) + 1
+	return max(upstream.Term(g.GetTerm()), highestBoundTerm(replies)) + 1
 }
--- a/failover/failover.go
+++ b/failover/failover.go
@@ -192,11 +192,11 @@
 type kind string
 
 const (
-	kindChange  kind = "change"
-	kindFirst   kind = "first_primary"
-	kindLoss    kind = "loss"
-	kindRepair  kind = "repair"
-	kindMembers kind = "members"
+	kindChange       kind = "change"
+	kindFirstPrimary kind = "first_primary"
+	kindLoss         kind = "loss"
+	kindRepair       kind = "repair"
+	kindMembers      kind = "members"
 )
 
 // action is work on one group that Tick starts; act returns an error if it has
@@ -240,7 +240,7 @@
 		return action{kindChange, func(ctx context.Context) error { return s.continueChange(ctx, g.GetDatabase()) }}, true
 	case pb.PromotionStep_PROMOTION_STEP_UNSPECIFIED:
 		act := s.decideFirstPrimary(g, facts, now)
-		return action{kindFirst, act}, act != nil
+		return action{kindFirstPrimary, act}, act != nil
 	}
 	if act := s.decideLoss(g, facts, now); act != nil {
 		return action{kindLoss, act}, true
--- a/failover/new.go
+++ b/failover/new.go
@@ -48,7 +48,7 @@
 			best = r
 		}
 	}
-	return best, best.status.Term > 0 && highestFence(replies) <= best.status.Term
+	return best, best.status.Term > 0 && highestBoundTerm(replies) <= best.status.Term
 }
 
 func (s *Supervisor) adopt(ctx context.Context, g *pb.Group, primary reply) error {
--- a/failover/repair.go
+++ b/failover/repair.go
@@ -53,7 +53,7 @@
 	}
 	s.updateFacts(facts.watch, func(f *groupFacts) { f.followOrderedAt = s.now() })
 	s.metrics.Counter("follow_orders_total").Inc(int64(len(replies)))
-	if higher := highestFence(replies); uint64(higher) > g.GetTerm() {
+	if higher := highestBoundTerm(replies); uint64(higher) > g.GetTerm() {
 		return s.changeAboveFence(ctx, g, higher)
 	}
 	for _, r := range replies {
--- a/owner/confirm.go
+++ b/owner/confirm.go
@@ -228,8 +228,8 @@
 	return n
 }
 
-// follows reports whether the member was a replica in term and had made no
-// promise to a higher term.
+// follows reports whether the member was a replica in term and was not fenced at
+// a higher one.
 func (r statusReport) follows(term upstream.Term) bool {
 	s := r.status
 	return !r.sentAt.IsZero() && s.Role == upstream.RoleReplica && s.Term == term && s.FencedTerm <= term
--- a/owner/confirm_test.go
+++ b/owner/confirm_test.go
@@ -90,7 +90,7 @@
 }
 
 // Guards against acknowledging a write on a replaced primary: replicas that
-// have promised to follow a newer term don't count for its majority.
+// are fenced at a newer term don't count for its majority.
 func TestReplacedPrimaryAcknowledgesNothing(t *testing.T) {
 	g, o := newFakeGroup(t)
 	_, _, err := runBatch(t, o, "a", "now", batch(upstream.ModeRead, "select"))
--- a/owner/execute.go
+++ b/owner/execute.go
@@ -96,8 +96,9 @@
 	return j.awaitPrimaryBeforeWrite(queueCtx)
 }
 
-// awaitPrimaryBeforeQueue waits for the confirmation of a primary before the
-// job queues, unless it is expected at once. No slot is held during the wait.
+// awaitPrimaryBeforeQueue waits until the primary is confirmed, before the job
+// queues and so without a slot. It does not wait if the confirmation is expected
+// at once.
 func (j *job) awaitPrimaryBeforeQueue(ctx context.Context) error {
 	if j.continuation || j.restarted || j.freshness.expectsNoWait() {
 		return nil
--- a/owner/stream_test.go
+++ b/owner/stream_test.go
@@ -134,7 +134,7 @@
 }
 
 // Guards against ending a statement that the server still executes, and
-// against waiting on after the server has said that it executes nothing.
+// against further waiting once the server has reported that it executes nothing.
 func TestExecutingStatementIsNotEndedAsSilent(t *testing.T) {
 	g, o := newFakeGroup(t)
 	release := make(chan struct{})
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -42,10 +42,10 @@
 	// has only read.
 	reason fault.Reason
 	wait   time.Duration
-	// upstream is the id of the upstream that was tried and after the
+	// upstream is the id of the upstream that was tried and minPosition the
 	// position that it had to hold; both are for logs.
-	upstream string
-	after    upstream.Position
+	upstream    string
+	minPosition upstream.Position
 }
 
 // Reasons for another attempt, beside those that package fault defines.
@@ -92,7 +92,7 @@
 		}
 		metrics.CountRetry(s.proxy.metrics, s.database, a.reason)
 		s.proxy.log.Info("proxy retries a statement", "request", st.ID, "database", s.database, "attempt", n+1,
-			"reason", a.reason, "upstream", a.upstream, "after", a.after, "wait", a.wait, "view", s.proxy.View().Index)
+			"reason", a.reason, "upstream", a.upstream, "after", a.minPosition, "wait", a.wait, "view", s.proxy.View().Index)
 		if now().Add(a.wait).After(deadline) {
 			return s.refuseWithRetry(a.reason)
 		}
@@ -132,10 +132,10 @@
 	return retry(fault.ReasonUpstreamUnavailable, jitter(busyBackoff))
 }
 
-// notRun handles an answer that promises that the statement did not run: it puts
-// the connection back into its pool and returns the retry that the answer calls
-// for.
-func (s *Session) notRun(c *conn, a Answer) attempt {
+// handleNotRun handles an answer that promises that the statement did not run: it
+// puts the connection back into its pool and returns the retry that the answer
+// calls for.
+func (s *Session) handleNotRun(c *conn, a Answer) attempt {
 	s.proxy.returnConn(c, a)
 	failed := s.retryRefused(c, a)
 	failed.upstream = c.pool.id()
@@ -173,9 +173,9 @@
 	s.proxy.metrics.Timer("statement_seconds").Record(took)
 	switch {
 	case s.tx == nil:
-		s.proxy.times.add(s.operationKind(), took)
+		s.proxy.operationTimes.add(s.operationKind(), took)
 	case st.Kind == KindCommit:
-		s.proxy.times.add(s.operationKind(), s.tx.upstreamTime+took)
+		s.proxy.operationTimes.add(s.operationKind(), s.tx.upstreamTime+took)
 	default:
 		s.tx.upstreamTime += took
 	}
--- a/proxy/choose.go
+++ b/proxy/choose.go
@@ -25,11 +25,11 @@
 }
 
 // chooseForRead returns the upstream with the least expected wait for a read that
-// needs the position after. An upstream that has just failed is chosen only if
-// excluded leaves no other, and one that is likely to lack the position is never
-// chosen. An upstream that is leaving gets no read unless all are leaving: it may
-// end at any time, and others that refuse now will soon have room.
-func (p *Proxy) chooseForRead(g *site.GroupView, after upstream.Position, excluded map[string]bool) (candidate, bool) {
+// needs minPosition. An upstream that has just failed is chosen only if excluded
+// leaves no other, and one that is likely to lack the position is never chosen. An
+// upstream that is leaving gets no read unless all are leaving: it may end at any
+// time, and others that refuse now will soon have room.
+func (p *Proxy) chooseForRead(g *site.GroupView, minPosition upstream.Position, excluded map[string]bool) (candidate, bool) {
 	var best candidate
 	var bestWait time.Duration
 	allLeaving := !slices.ContainsFunc(g.Upstreams, func(u *pb.SiteUpstream) bool { return !u.Leaving })
@@ -42,7 +42,7 @@
 			continue
 		}
 		c := candidate{upstream: u, pool: pl, primary: u.Id == g.Primary}
-		wait, fits := p.expectedWait(c, after)
+		wait, fits := p.expectedWait(c, minPosition)
 		if !fits {
 			continue
 		}
@@ -58,10 +58,10 @@
 const backoffPenalty = 20 * time.Second
 
 // expectedWait returns the expected wait at an upstream with its penalties. It
-// reports false for a replica that lately lacked the position and so would
+// reports false for a replica that lately lacked minPosition and so would
 // probably refuse the read. The primary holds every position.
-func (p *Proxy) expectedWait(c candidate, after upstream.Position) (time.Duration, bool) {
-	e := c.pool.estimate(after)
+func (p *Proxy) expectedWait(c candidate, minPosition upstream.Position) (time.Duration, bool) {
+	e := c.pool.estimate(minPosition)
 	if e.behind && !c.primary {
 		return 0, false
 	}
--- a/proxy/choose_test.go
+++ b/proxy/choose_test.go
@@ -30,7 +30,7 @@
 	assert.Assert(t, !ok, "the leaving upstream was chosen as the last one")
 }
 
-// Guards against a replica that gets no reads at all, even such as it could
+// Guards against a replica that gets no reads, not even those that it could
 // serve, because one read needed a newer position than the replica holds.
 func TestLaggingReplicaServesReadsOfOlderPositions(t *testing.T) {
 	f := newFixture(t)
--- a/proxy/fake_test.go
+++ b/proxy/fake_test.go
@@ -129,7 +129,7 @@
 			u.onBegin(u)
 		}
 	case CommandBeginRead:
-		if command.After != zero && held.Before(command.After) {
+		if command.MinPosition != zero && held.Before(command.MinPosition) {
 			c.state = StateFailed
 			return CodeLagging
 		}
@@ -155,7 +155,7 @@
 	case u.busy > 0:
 		u.busy--
 		return CodeBusy
-	case command.After != (upstream.Position{}) && held.Before(command.After):
+	case command.MinPosition != (upstream.Position{}) && held.Before(command.MinPosition):
 		return CodeLagging
 	case c.state == StateOpen && c.primaryOnly && !u.primary && st.Kind != KindCommit:
 		c.state = StateFailed
--- a/proxy/health.go
+++ b/proxy/health.go
@@ -24,7 +24,8 @@
 	// statements may take on average before the concurrency limit is lowered.
 	// An upstream serves its queue in the order of arrival, so urgent
 	// statements can't pass those that wait there. With 60, 90 and 130 ms,
-	// the operations of the load model in the tests earn less worth.
+	// the load model in the tests has a lower score: operations within their
+	// target count in full, late ones in part.
 	maxQueueDelay = 40 * time.Millisecond
 	// serviceTimeHalfLife is the half-life of the service time of an unused
 	// upstream, so that one that was slow is tried again.
@@ -159,9 +160,9 @@
 	backingOff, behind bool
 }
 
-// estimate returns the estimate for a statement that needs the position after;
-// the zero position means none.
-func (p *pool) estimate(after upstream.Position) estimate {
+// estimate returns the estimate for a statement that needs minPosition; the zero
+// position means none.
+func (p *pool) estimate(minPosition upstream.Position) estimate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := now()
@@ -175,7 +176,7 @@
 	return estimate{
 		wait:       wait,
 		backingOff: p.failures > 0 || at.Before(p.backoffUntil),
-		behind:     at.Before(p.laggingUntil) && p.laggingPosition.Before(after),
+		behind:     at.Before(p.laggingUntil) && p.laggingPosition.Before(minPosition),
 	}
 }
 
@@ -211,7 +212,7 @@
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	p.mu.Lock()
-	u := p.record
+	u := p.siteUpstream
 	p.mu.Unlock()
 	begunAt := now()
 	opened, err := p.dialer.Dial(ctx, u)
--- a/proxy/model_test.go
+++ b/proxy/model_test.go
@@ -33,8 +33,8 @@
 	transactions float64       // share of operations that are transactions
 	target       time.Duration
 	deadline     time.Duration
-	worth        float64
-	lateWorth    float64
+	worth        float64 // score of an operation that ends within target
+	lateWorth    float64 // score of one that ends after target, but within deadline
 	priority     uint32
 }
 
@@ -448,7 +448,7 @@
 func (c *modelConn) run(command Command, deadline time.Time) (code Code, failed, lost bool) {
 	u, m := c.u, c.u.m
 	m.mu.Lock()
-	behind := u.offset < command.After.Offset
+	behind := u.offset < command.MinPosition.Offset
 	primary, unreachable := u.primary, u.unreachable
 	m.mu.Unlock()
 	switch {
--- a/proxy/pool.go
+++ b/proxy/pool.go
@@ -23,12 +23,12 @@
 	dialer Dialer
 
 	// mu guards the fields below.
-	mu     sync.Mutex
-	record *pb.SiteUpstream
-	quota  connectionQuota
-	open   int
-	idle   []*conn // most recently used last
-	closed bool
+	mu           sync.Mutex
+	siteUpstream *pb.SiteUpstream
+	quota        connectionQuota
+	open         int
+	idle         []*conn // most recently used last
+	closed       bool
 	// inFlight counts the statements that are at the upstream or about to be
 	// sent to it.
 	inFlight int
@@ -86,25 +86,25 @@
 
 func newPool(dialer Dialer, u *pb.SiteUpstream, quota connectionQuota) *pool {
 	return &pool{
-		dialer:      dialer,
-		record:      u,
-		quota:       quota,
-		concurrency: newConcurrencyLimit(),
-		serviceTime: float64(initialServiceTime / time.Millisecond),
+		dialer:       dialer,
+		siteUpstream: u,
+		quota:        quota,
+		concurrency:  newConcurrencyLimit(),
+		serviceTime:  float64(initialServiceTime / time.Millisecond),
 	}
 }
 
 func (p *pool) update(u *pb.SiteUpstream, quota connectionQuota) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.record, p.quota = u, quota
+	p.siteUpstream, p.quota = u, quota
 	p.grantLocked()
 }
 
 func (p *pool) id() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.record.Id
+	return p.siteUpstream.Id
 }
 
 // popIdleLocked returns an idle connection that is alive and counts it as in
@@ -280,7 +280,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	p.mu.Lock()
-	u := p.record
+	u := p.siteUpstream
 	p.mu.Unlock()
 	dialed, err := p.dialer.Dial(ctx, u)
 	p.mu.Lock()
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -60,11 +60,11 @@
 // Proxy runs the statements of sessions on the upstreams of its current view of
 // the site. It is safe for concurrent use.
 type Proxy struct {
-	options Options
-	log     *slog.Logger
-	metrics tally.Scope
-	view    atomic.Pointer[site.View]
-	times   operationTimes
+	options        Options
+	log            *slog.Logger
+	metrics        tally.Scope
+	view           atomic.Pointer[site.View]
+	operationTimes operationTimes
 	// sampling allows one request for a sample at a time to the primary of
 	// each group, and one to a control host, under the empty key.
 	sampling singleflight.Group
--- a/proxy/read.go
+++ b/proxy/read.go
@@ -42,8 +42,9 @@
 // target is the upstream for a read that a replica may serve.
 type target struct {
 	candidate
-	// after is the position that a replica must hold; unused at the primary.
-	after upstream.Position
+	// minPosition is the position that a replica must hold; unused at the
+	// primary.
+	minPosition upstream.Position
 }
 
 // chooseTarget chooses the upstream for a read or a read-only transaction that
@@ -66,7 +67,7 @@
 		a := retry(reasonNoUpstreamFits, jitter(busyBackoff))
 		return target{}, &a
 	}
-	return target{candidate: c, after: minPosition}, nil
+	return target{candidate: c, minPosition: minPosition}, nil
 }
 
 func (s *Session) primaryCandidate(group string) (candidate, bool) {
@@ -103,14 +104,14 @@
 		return s.readAcquireFailed(err, progress, t.upstream.Id)
 	}
 	command := stmt.command()
-	command.After = t.after
+	command.MinPosition = t.minPosition
 	sentAt := now()
 	answers, err := exchange(c, time.Now().Add(readTimeout(t.pool, route)), s.setUp(c, stmt), command)
 	if err == nil && answers[0].Code == CodeNone {
 		t.pool.recordCaughtUp()
 	}
 	a := s.finishRead(c, stmt, progress, sentAt, answers, err)
-	a.after = t.after
+	a.minPosition = t.minPosition
 	return a
 }
 
@@ -144,7 +145,7 @@
 	switch {
 	case a.Code.NotRun():
 		progress.exclude(c.pool.id())
-		return s.notRun(c, Answer{Code: a.Code, State: last.State, Position: a.Position})
+		return s.handleNotRun(c, Answer{Code: a.Code, State: last.State, Position: a.Position})
 	case a.Code != CodeNone && progress.reruns < maxReruns:
 		progress.reruns++
 		progress.exclude(c.pool.id())
@@ -200,7 +201,7 @@
 	}
 	pl.recordAnswer(now().Sub(sentAt))
 	if answers[0].Code != CodeNone {
-		a := s.notRun(c, answers[0])
+		a := s.handleNotRun(c, answers[0])
 		return nil, &a
 	}
 	if begin.Kind == CommandBegin {
--- a/proxy/session.go
+++ b/proxy/session.go
@@ -261,7 +261,7 @@
 		arrivedAt: s.operationStart,
 		target:    time.Duration(route.TargetMs) * time.Millisecond,
 		priority:  route.Priority,
-		expected:  s.proxy.times.expected(s.operationKind()),
+		expected:  s.proxy.operationTimes.expected(s.operationKind()),
 	}
 }
 
--- a/proxy/statement.go
+++ b/proxy/statement.go
@@ -79,9 +79,9 @@
 	Kind CommandKind
 	// Statement is the statement that CommandForward runs.
 	Statement *Statement
-	// After is the position that a read or a CommandBeginRead needs. The
-	// upstream refuses it with CodeLagging if its log lacks the position.
-	After upstream.Position
+	// MinPosition is the position that a read or a CommandBeginRead needs.
+	// The upstream refuses it with CodeLagging if its log lacks the position.
+	MinPosition upstream.Position
 	// Name and Value are the name and value of the session value that
 	// CommandSet sets, or the name and shape of the statement that
 	// CommandPrepare prepares. CommandForward has in Name the prepared
--- a/proxy/transaction.go
+++ b/proxy/transaction.go
@@ -122,7 +122,7 @@
 	if t.primary {
 		return s.bindAtPrimary(ctx, stmt)
 	}
-	c, failed := s.beginTransaction(ctx, t.pool, stmt, s.tx.route, Command{Kind: CommandBeginRead, After: t.after})
+	c, failed := s.beginTransaction(ctx, t.pool, stmt, s.tx.route, Command{Kind: CommandBeginRead, MinPosition: t.minPosition})
 	if failed != nil {
 		progress.exclude(t.upstream.Id)
 		return *failed
--- a/proxy/write.go
+++ b/proxy/write.go
@@ -34,7 +34,7 @@
 	a := answers[0]
 	pl.recordStatement(a.Code, now().Sub(sentAt))
 	if a.Code.NotRun() {
-		return s.notRun(c, a)
+		return s.handleNotRun(c, a)
 	}
 	s.proxy.returnConn(c, a)
 	if a.Code == CodeNone {
--- a/sitecontrol/announce.go
+++ b/sitecontrol/announce.go
@@ -131,8 +131,8 @@
 	return err
 }
 
-// EndUpstream removes an upstream that has announced its own shutdown. Like
+// RemoveUpstream removes an upstream that has announced its own shutdown. Like
 // AnnounceUpstream, it returns nil once the change is committed.
-func (s *Server) EndUpstream(ctx context.Context, id string) error {
+func (s *Server) RemoveUpstream(ctx context.Context, id string) error {
 	return s.announce(ctx, &pb.SiteUpstream{Id: id}, true)
 }
--- a/sitecontrol/positions.go
+++ b/sitecontrol/positions.go
@@ -25,8 +25,8 @@
 // positionSample is the newest known position of a group's primary. Server.mu
 // guards it.
 type positionSample struct {
-	position upstream.Position
-	askedAt  time.Time
+	position    upstream.Position
+	requestedAt time.Time
 	// done is closed when the call that takes the next sample has ended; it
 	// is nil if no such call is running.
 	done chan struct{}
@@ -58,7 +58,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sample := s.samples[group]
-	if sample == nil || sample.askedAt.IsZero() {
+	if sample == nil || sample.requestedAt.IsZero() {
 		return nil
 	}
 	return &pb.GroupPosition{
@@ -67,7 +67,7 @@
 		Offset: uint64(sample.position.Offset),
 		// Rounded up, because the proxy relies on the position being no older
 		// than this.
-		AgeMs: uint32(now().Sub(sample.askedAt)/time.Millisecond) + 1,
+		AgeMs: uint32(now().Sub(sample.requestedAt)/time.Millisecond) + 1,
 	}
 }
 
@@ -82,7 +82,7 @@
 		sample = &positionSample{}
 		s.samples[group] = sample
 	}
-	age = now().Sub(sample.askedAt)
+	age = now().Sub(sample.requestedAt)
 	if age < sampleRefreshAge {
 		return nil, age
 	}
@@ -100,7 +100,7 @@
 func (s *Server) takeSample(group string) {
 	ctx, cancel := context.WithTimeout(context.Background(), sampleTimeout)
 	defer cancel()
-	askedAt := now()
+	requestedAt := now()
 	position, err := s.askPosition(ctx, group)
 	if err != nil {
 		s.metrics.Counter("samples_failed_total").Inc(1)
@@ -110,7 +110,7 @@
 	sample := s.samples[group]
 	sample.done = nil
 	if err == nil {
-		sample.position, sample.askedAt = position, askedAt
+		sample.position, sample.requestedAt = position, requestedAt
 	}
 }
 
--- a/standin/describe.go
+++ b/standin/describe.go
@@ -49,7 +49,8 @@
 func (s *session) describeRead(st *statement, p *prepared, oids []uint32) ([]field, *pgError) {
 	probe, err := s.db.Prepare("SELECT * FROM (" + st.sql + "\n) LIMIT 0")
 	if err != nil {
-		// PRAGMA and EXPLAIN can't stand in a subquery; they are run as they are.
+		// PRAGMA and EXPLAIN aren't allowed in a subquery; they are run as they
+		// are.
 		probe = p.stmt
 	} else {
 		defer probe.Close()
--- a/standin/remote.go
+++ b/standin/remote.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// controlPrefix is the prefix of settings that control the server itself. With
-// SET, a test can control a server in another process:
+// serverSettingPrefix is the prefix of settings that control the server itself.
+// With SET, a test can control a server in another process:
 // standin.lag, standin.service_time, standin.connect_delay (durations),
 // standin.slots, standin.max_connections (numbers), standin.replication_broken
 // and standin.frozen (Booleans). The session that sets standin.frozen is not
 // frozen itself, so that it can reset it.
-const controlPrefix = "standin."
+const serverSettingPrefix = "standin."
 
-// controlServer applies a setting that starts with controlPrefix. It returns
-// false for other settings.
-func (s *session) controlServer(name, value string) (bool, *pgError) {
+// applyServerSetting applies a setting that starts with serverSettingPrefix. It
+// returns false for other settings.
+func (s *session) applyServerSetting(name, value string) (bool, *pgError) {
 	name = strings.ToLower(name)
-	if !strings.HasPrefix(name, controlPrefix) {
+	if !strings.HasPrefix(name, serverSettingPrefix) {
 		return false, nil
 	}
-	switch strings.TrimPrefix(name, controlPrefix) {
+	switch strings.TrimPrefix(name, serverSettingPrefix) {
 	case "lag":
 		return true, applyDuration(name, value, s.server.SetLag)
 	case "service_time":
--- a/standin/settings.go
+++ b/standin/settings.go
@@ -177,7 +177,7 @@
 // changeSetting changes a setting of the session or of the server, and sends a
 // ParameterStatus if it is one of reportedSettings and its value differs.
 func (s *session) changeSetting(name, value string) *pgError {
-	if applied, failure := s.controlServer(name, value); applied {
+	if applied, failure := s.applyServerSetting(name, value); applied {
 		return failure
 	}
 	before := s.settings.show(name)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -13,8 +13,8 @@
 // of primary.
 type Term uint64
 
-// Offset is an index into a server's log, in log entries. It counts on from term to
-// term.
+// Offset is an index into a server's log, in log entries. A new term does not
+// restart the count.
 type Offset uint64
 
 // Position identifies a point in the log history of a group. The zero value
