--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -127,7 +127,7 @@
 	(<-short).Release(time.Millisecond)
 }
 
-// Guards against requests that stay in the queue after their caller has gone.
+// Guards against requests that stay in the queue after they were cancelled.
 func TestCancelledRequestLeavesQueue(t *testing.T) {
 	for _, policy := range []Policy{NewFIFO(), NewShortestJobFirst()} {
 		q := New(Options{Slots: 1, Policy: policy})
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -34,7 +34,7 @@
 type Group struct {
 	Database string
 	Term     upstream.Term
-	// Primary is the upstream that leads Term, empty during a change.
+	// Primary is the group's primary in Term, empty during a change.
 	Primary string
 	// Members are the upstreams that are counted for a majority of the group.
 	Members []string
--- a/upstream/pgupstream/run.go
+++ b/upstream/pgupstream/run.go
@@ -59,8 +59,8 @@
 // batch.
 const maxReusedBufferBytes = 64 << 10
 
-// sendBuffer sends out and keeps the buffer for the next batch, unless it is too
-// large.
+// sendBuffer sends the bytes of out and keeps the buffer for the next batch, unless
+// it is too large.
 func (c *Conn) sendBuffer(out []byte) error {
 	if cap(out) <= maxReusedBufferBytes {
 		c.requestBuffer = out
