--- a/proxy/model_test.go
+++ b/proxy/model_test.go
@@ -83,6 +83,7 @@
 	rng       *rand.Rand
 	classes   []modelClass
 	proxies   []*modelHost
+	running   sync.WaitGroup // the Run of each proxy
 	upstreams []*modelUpstream
 	parts     site.ViewParts
 	term      upstream.Term
@@ -199,7 +200,7 @@
 	}
 	var ctx context.Context
 	ctx, h.stop = context.WithCancel(context.Background())
-	go h.proxy.Run(ctx)
+	m.running.Go(func() { h.proxy.Run(ctx) })
 }
 
 // runModel runs a model for length of virtual time and returns its result.
@@ -221,6 +222,9 @@
 		for _, h := range m.proxies {
 			h.stop()
 		}
+		// A health check may still be dialing. Virtual time stands still once
+		// this function has returned, and synctest reports a deadlock then.
+		m.running.Wait()
 		result = &m.result
 	})
 	return result
